--- a/packages/router/src/lib/placing/candidate-sample.ts
+++ b/packages/router/src/lib/placing/candidate-sample.ts
@@ -1,24 +1,24 @@
 /**
- * Samples the candidates of one choice. Daemons learn of each other's requests with a delay;
- * if each compared all candidates, all would choose the same few until the next reports.
+ * Samples the candidates of a choice. Daemons learn of each other's requests with a delay. If
+ * each compared all candidates, all would choose the same few until the next reports.
  */
 import {type Candidate} from './candidates.js';
 
 /** Options of {@link createSampler}. */
 export type SamplerOptions = {
-	/** Daemons that choose at the same time with the same late news of loads, including this one. */
+	/** Number of daemons, including this one, that choose concurrently from the same delayed load reports. */
 	daemons: () => number;
 	/** Returns a number in [0, 1). */
 	random: () => number;
 };
 
-/** Draws at random, at least until a candidate `canBegin` at once. */
+/** Draws candidates at random, and continues until one of them `canBegin` at once. */
 export type Sample = (candidates: readonly Candidate[], canBegin: (candidate: Candidate) => boolean) => Candidate[];
 
-/** Two random choices balance loads even if these are known late. */
+/** Two random choices balance load even when load reports are delayed. */
 const minSampleSize = 2;
 
-/** Creates a sampler; each candidate is drawn by about one daemon at a time. */
+/** Creates a sampler. The sample size makes about one daemon at a time draw each candidate. */
 export function createSampler({daemons, random}: SamplerOptions): Sample {
 	return (candidates, canBegin) => {
 		const rest = [...candidates];
--- a/packages/router/src/lib/placing/candidates.ts
+++ b/packages/router/src/lib/placing/candidates.ts
@@ -18,82 +18,82 @@
 	limits: EndpointLimits;
 	/** Fraction of an endpoint's connection limit that this daemon may use. */
 	connectionShare: () => number;
-	/** Maximum staleness of weights on which a request may begin. */
+	/** Maximum time since replacement of the weights on which a request may begin. */
 	weightsMs: number;
 };
 
-/** An eligible endpoint, with the state that was looked up for it. */
+/** An eligible endpoint and its state at the time of the choice. */
 export type Candidate = {
 	endpoint: LiveEndpoint;
 	load: EndpointLoad;
 	/** Weights version that an engine is believed to run. */
 	weights: number | undefined;
 	/** Milliseconds by which the answer would overrun the engine's planned drain; 0 if it fits. */
-	outlastsMs: number;
+	drainOverrunMs: number;
 };
 
 /**
- * Fraction of `weightsMs` after which no request is sent to old weights; leaves time for
- * transit and queueing.
+ * Fraction of `weightsMs` after which no request is sent to replaced weights. The rest allows
+ * for transit and queueing.
  */
 const maxWeightsAgeRatio = 0.8;
 
 /**
- * Tolerated overrun of a planned drain. An engine that drains serves nobody, so long overruns
- * reduce capacity.
+ * Tolerated overrun of a planned drain. A draining engine accepts no requests, so a long overrun
+ * reduces capacity.
  */
 const maxOverrunMs = 300;
 
 /** Lower bound on connections per endpoint, regardless of the number of daemons. */
 const minConnections = 4;
 
-/** Creates a look-up of candidates; doubtful endpoints are returned only when there are no others. */
+/** Creates a look-up of candidates. Doubtful endpoints are returned only when there are no others. */
 export function createCandidates(options: CandidatesOptions): (request: ChoiceRequest) => Candidate[] {
 	const {
-		view, book, health, presence, versions, limits,
+		view, book: loadTracker, health, presence, versions, limits,
 	} = options;
 
-	/** Expected wait in the engine's queue; a request that waits already shows its least. */
+	/** Expected wait in the engine's queue; at least as long as the oldest own request has waited. */
 	const queueMs = ({id, slots}: LiveEndpoint, load: EndpointLoad): number =>
-		Math.max(load.oldestWaitMs, load.pendingTokens * book.msPerToken(id), load.running >= slots ? load.lastsMs : 0);
+		Math.max(load.oldestWaitMs, load.pendingTokens * loadTracker.msPerToken(id), load.running >= slots ? load.lastsMs : 0);
 
 	/**
-	 * Whether weights are fresh enough for a request that waits so long before it begins. Those
-	 * of unknown age are not: they may have been replaced before this process started.
+	 * Whether the weights will still be fresh enough when the request begins after `waitMs`.
+	 * Weights of unknown age are not: they may have been replaced before this process started.
 	 */
 	const isFreshEnough = ({model}: PromptNeed, version: number, waitMs: number): boolean => {
 		const outdatedMs = view.namedWeights(model)?.outdatedMs(version) ?? 0;
 		return outdatedMs === 0 || outdatedMs + waitMs < options.weightsMs * maxWeightsAgeRatio;
 	};
 
-	/** Prefers engines whose drain the answer would not overrun, then those with the least overrun. */
+	/** Engines whose planned drain the answer would not overrun, and those within `maxOverrunMs` of the least overrun. */
 	const withLeastOverrun = (candidates: readonly Candidate[]): Candidate[] => {
-		const leastMs = Math.min(...candidates.map(({outlastsMs}) => outlastsMs));
-		return candidates.filter(({outlastsMs}) => outlastsMs === 0 || outlastsMs <= leastMs + maxOverrunMs);
+		const leastMs = Math.min(...candidates.map(({drainOverrunMs}) => drainOverrunMs));
+		return candidates.filter(({drainOverrunMs}) => drainOverrunMs === 0 || drainOverrunMs <= leastMs + maxOverrunMs);
 	};
 
 	/**
-	 * Endpoints reset connections above their limit, and requests on them may have run; so
-	 * daemons split the limit.
+	 * Connections that this daemon may open. Endpoints reset connections above their limit, and
+	 * requests on those may have run, so the daemons divide the limit between them.
 	 */
 	const maxOwnConnections = ({service}: LiveEndpoint): number => {
-		const most = view.current()?.document.services.get(service)?.mostConnections ?? Number.POSITIVE_INFINITY;
-		return Math.max(minConnections, Math.floor(most * options.connectionShare()));
+		const connectionLimit = view.current()?.document.services.get(service)?.mostConnections ?? Number.POSITIVE_INFINITY;
+		return Math.max(minConnections, Math.floor(connectionLimit * options.connectionShare()));
 	};
 
 	const candidateOf = (endpoint: LiveEndpoint, request: ChoiceRequest): Candidate | undefined => {
-		if (endpoint.isLeaving || request.excluded.has(endpoint.id) || presence.hasEnded(endpoint) || !limits.mayTake(endpoint)) {
+		if (endpoint.isLeaving || request.excluded.has(endpoint.id) || presence.hasEnded(endpoint) || !limits.canSend(endpoint)) {
 			return undefined;
 		}
 
-		const load = book.load(endpoint);
-		if (load.running >= health.roomOf(endpoint.id) || book.ownRunning(endpoint.id) >= maxOwnConnections(endpoint)) {
+		const load = loadTracker.load(endpoint);
+		if (load.running >= health.roomOf(endpoint.id) || loadTracker.ownRunning(endpoint.id) >= maxOwnConnections(endpoint)) {
 			return undefined;
 		}
 
 		if (request.prompt === undefined) {
 			return {
-				endpoint, load, weights: undefined, outlastsMs: 0,
+				endpoint, load, weights: undefined, drainOverrunMs: 0,
 			};
 		}
 
@@ -103,20 +103,20 @@
 		}
 
 		return {
-			endpoint, load, weights: version, outlastsMs: Math.max(0, book.runMs(request.prompt.outputTokens) - maxOverrunMs - dueInMs),
+			endpoint, load, weights: version, drainOverrunMs: Math.max(0, loadTracker.runMs(request.prompt.outputTokens) - maxOverrunMs - dueInMs),
 		};
 	};
 
 	return request => {
-		const sound: Candidate[] = [];
+		const preferred: Candidate[] = [];
 		const doubtful: Candidate[] = [];
 		for (const endpoint of view.endpointsOf(request.service)) {
 			const candidate = candidateOf(endpoint, request);
 			if (candidate !== undefined) {
-				(presence.isDoubtful(endpoint) ? doubtful : sound).push(candidate);
+				(presence.isDoubtful(endpoint) ? doubtful : preferred).push(candidate);
 			}
 		}
 
-		return sound.length > 0 ? withLeastOverrun(sound) : doubtful;
+		return preferred.length > 0 ? withLeastOverrun(preferred) : doubtful;
 	};
 }
--- a/packages/router/src/lib/placing/choice-request.ts
+++ b/packages/router/src/lib/placing/choice-request.ts
@@ -1,33 +1,33 @@
-/** Input of the endpoint choice. */
+/** Input of the endpoint choice, and the cache keys of prompt parts. */
 import {type PromptPart} from '../fleet/call-headers.js';
 
 /** A request that needs an endpoint. */
 export type ChoiceRequest = {
 	service: string;
-	/** Set for requests to model engines. */
+	/** `undefined` for services without engines. */
 	prompt: PromptNeed | undefined;
-	/** Endpoints that were tried already. */
+	/** Ids of endpoints that were already tried. */
 	excluded: ReadonlySet<string>;
 };
 
-/** Requirements of a request to a model engine. */
+/** Prompt of a request to a model engine: its parts, size and cache isolation. */
 export type PromptNeed = {
 	model: string;
 	/** Ordered from the root; the last part is unique to the request. */
 	parts: readonly PromptPart[];
 	promptTokens: number;
 	outputTokens: number;
-	/** Isolates cached parts of this workspace from others; empty when shared. */
+	/** Name of an isolated workspace, which shares no cached parts with others; empty if not isolated. */
 	wall: string;
 };
 
-/** A prompt part with its tokens, as reports carry it. */
+/** A prompt part and its token count, as encoded in peer reports. */
 export type PromptPartTokens = [id: string, tokens: number];
 
-/** The parts that other requests may share: all but the last. */
+/** Parts that other requests may share: all but the last. */
 export const sharedPartsOf = ({parts}: PromptNeed): readonly PromptPart[] => parts.slice(0, -1);
 
-/** Cache scope of a prompt: its isolation and the weights version. */
+/** Cache scope of a prompt: its isolation key and the weights version. */
 export const scopeOf = ({wall}: PromptNeed, weights: number | undefined): string => `${wall}:${weights ?? 0}`;
 
 /** Cache key of a part within a scope. */
@@ -39,7 +39,7 @@
 	return sharedPartsOf(prompt).map(part => partKey(scope, part.id));
 }
 
-/** Tokens of the leading shared parts for which `isHeld` returns true; it gets a part's index. */
+/** Total tokens of the leading shared parts whose index satisfies `isHeld`. */
 export function leadingTokens(prompt: PromptNeed, isHeld: (index: number) => boolean): number {
 	let tokens = 0;
 	for (const [index, part] of sharedPartsOf(prompt).entries()) {
--- a/packages/router/src/lib/placing/endpoint-book.ts
+++ b/packages/router/src/lib/placing/endpoint-book.ts
@@ -1,35 +1,35 @@
 /**
- * Load of each endpoint, from own requests, peers' reports and response headers, and
- * estimates of its prompt speed.
+ * Tracks the load of each endpoint from own requests, peers' reports and response headers, and
+ * estimates how fast it computes prompts and generates output.
  */
 import {type EndpointLoadReport} from '../fleet/call-headers.js';
 import {type LiveEndpoint} from '../fleet/live-endpoint.js';
 import {type PeerReport} from '../peers/peer-report.js';
 
-/** Known load of an endpoint over all daemons. */
+/** Known load of an endpoint from all daemons. */
 export type EndpointLoad = {
 	/** Requests in flight. */
 	running: number;
-	/** Queued prompt tokens that are computed before a new request's own. */
+	/** Prompt tokens that are computed before those of a new request. */
 	pendingTokens: number;
-	/** Tokens in memory of requests in flight. */
+	/** Prompt and output tokens of the requests in flight, which occupy the engine's memory. */
 	memoryTokens: number;
-	/** Milliseconds for which the oldest own request has waited for its first event. */
+	/** Milliseconds for which the oldest request of this daemon has waited for its first event. */
 	oldestWaitMs: number;
 	/** Milliseconds until the last request in flight is expected to end. */
 	lastsMs: number;
 };
 
-/** One request in flight. */
-export type Work = {
-	/** The first event arrived, so the prompt has been computed. */
+/** A request in flight. */
+export type TrackedRequest = {
+	/** Records the first event: the prompt has been computed. */
 	begun: () => void;
-	/** The request ended; `isWhole` when its answer is complete. */
+	/** Records the end of the request; `isWhole` when its answer is complete. */
 	ended: (isWhole: boolean) => void;
 };
 
 /** Size of a request. */
-export type WorkSize = {
+export type RequestSize = {
 	/** Prompt tokens that are not expected to be cached. */
 	missingTokens: number;
 	/** Prompt and output tokens. */
@@ -38,21 +38,22 @@
 	outputTokens: number;
 };
 
-/** The loads of all endpoints. */
+/** Loads and speed estimates of all endpoints, by endpoint id. */
 export type EndpointBook = {
 	load: (endpoint: LiveEndpoint) => EndpointLoad;
-	/** Own requests in flight. */
+	/** Requests of this daemon in flight. */
 	ownRunning: (id: string) => number;
 	/** Estimated milliseconds to compute one prompt token. */
 	msPerToken: (id: string) => number;
-	/** Estimated milliseconds to the first event, apart from computing the prompt. */
+	/** Estimated milliseconds to the first event, without the time to compute the prompt. */
 	baseMs: (id: string) => number;
 	/** Estimated milliseconds from the first event of an answer of this size to its end. */
 	runMs: (outputTokens: number) => number;
-	start: (id: string, size: WorkSize) => Work;
-	/** A response reported the endpoint's load. */
+	/** Adds a request to the load. */
+	start: (id: string, size: RequestSize) => TrackedRequest;
+	/** Records the load that a response of the endpoint reported. */
 	told: (id: string, report: EndpointLoadReport) => void;
-	/** Updates the estimates with the time from sending a request to its first event. */
+	/** Updates the speed estimates; `firstMs` is the time from sending a request to its first event. */
 	learn: (id: string, firstMs: number, missingTokens: number, pendingTokens: number) => void;
 	heard: (report: PeerReport) => void;
 	leftPeer: (daemon: string) => void;
@@ -61,63 +62,63 @@
 	report: () => PeerReport['loads'];
 };
 
-type OpenWork = {size: WorkSize; startedAt: number; begunAt: number | undefined};
+type OpenRequest = {size: RequestSize; startedAt: number; begunAt: number | undefined};
 
 type Entry = {
-	open: Set<OpenWork>;
+	open: Set<OpenRequest>;
 	msPerToken: number;
 	baseMs: number;
-	told: {report: EndpointLoadReport; at: number; ownThen: number} | undefined;
+	told: {report: EndpointLoadReport; at: number; ownRunningThen: number} | undefined;
 };
 
 type PeerLoads = {at: number; loads: PeerReport['loads']};
 
-/** Load of one endpoint from all peers; `endsAt` is when its last request is expected to end. */
+/** Load of one endpoint from all peers. `endsAt` is when its last request is expected to end. */
 type PeerSum = Pick<EndpointLoad, 'running' | 'pendingTokens' | 'memoryTokens'> & {endsAt: number};
 
 const noPeerLoad: Readonly<PeerSum> = {
 	running: 0, pendingTokens: 0, memoryTokens: 0, endsAt: Number.NEGATIVE_INFINITY,
 };
 
-/** Initial estimates, in milliseconds; replaced by moving averages. */
+/** Initial estimates in milliseconds, updated as exponential moving averages. */
 const initialMsPerToken = 0.03;
 const initialBaseMs = 15;
-/** Requests with fewer tokens to compute update `baseMs`, larger ones `msPerToken`. */
+/** Requests with fewer tokens to compute update `baseMs`, others `msPerToken`. */
 const minTokensForRate = 1024;
 const rateSmoothing = 0.2;
-/** Slower than the rate, so that the two estimates don't oscillate. */
+/** Smaller than `rateSmoothing`, so that the two estimates don't oscillate. */
 const baseSmoothing = 0.1;
 const minTokensForRun = 32;
-/** Small, since answers often end before their upper bound. */
+/** Small, since answers often end before their upper bound of tokens. */
 const runSmoothing = 0.05;
 const initialRunMsPerToken = 5;
-/** Reports older than this are ignored. */
-const toldTtlMs = 700;
+/** Time after which a load reported by an endpoint is ignored. */
+const endpointReportTtlMs = 700;
 const minPeerTtlMs = 1500;
-/** Refresh intervals after which a peer's loads are ignored. */
+/** A peer's loads are ignored after this many refresh intervals, but not before `minPeerTtlMs`. */
 const refreshesPerPeerTtl = 3;
 
 /** Options of {@link createEndpointBook}. */
-export type EndpointBookOptions = {
-	/** Called when a request begins that peers should know of at once. */
+export type EndpointLoadTrackerOptions = {
+	/** Called when a request with a large prompt starts, which peers should know of at once. */
 	onLarge?: () => void;
-	/** Maximum time between two reports from one peer. */
+	/** Maximum milliseconds between two reports from one peer. */
 	refreshMs?: () => number;
 };
 
 /**
- * Prompt tokens from which peers are told at once; until the next report they would take the
- * busy engine for idle.
+ * Uncached prompt tokens from which peers are notified at once. Until the next regular report
+ * they would take the busy engine for idle.
  */
-const largeTokens = 2000;
+const largePromptTokens = 2000;
 
-/** Creates an empty book. */
-export function createEndpointBook({onLarge, refreshMs = () => 0}: EndpointBookOptions = {}): EndpointBook {
+/** Creates a tracker without requests or reports. */
+export function createEndpointBook({onLarge, refreshMs = () => 0}: EndpointLoadTrackerOptions = {}): EndpointBook {
 	const entries = new Map<string, Entry>();
 	const peers = new Map<string, PeerLoads>();
-	/** Sums over `peers`, by endpoint; void after `peerSumsUntil`. */
+	/** Sums over `peers`, by endpoint; invalid after `peerSumsValidUntil`. */
 	let peerSums = new Map<string, PeerSum>();
-	let peerSumsUntil = Number.NEGATIVE_INFINITY;
+	let peerSumsValidUntil = Number.NEGATIVE_INFINITY;
 	let runMsPerToken = initialRunMsPerToken;
 
 	const entryOf = (id: string): Entry => {
@@ -152,13 +153,13 @@
 	const sumPeers = (now: number): void => {
 		const peerTtlMs = Math.max(minPeerTtlMs, refreshMs() * refreshesPerPeerTtl);
 		peerSums = new Map();
-		peerSumsUntil = Number.POSITIVE_INFINITY;
+		peerSumsValidUntil = Number.POSITIVE_INFINITY;
 		for (const {at, loads} of peers.values()) {
 			if (now > at + peerTtlMs) {
 				continue;
 			}
 
-			peerSumsUntil = Math.min(peerSumsUntil, at + peerTtlMs);
+			peerSumsValidUntil = Math.min(peerSumsValidUntil, at + peerTtlMs);
 			for (const [id, running, pendingTokens, memoryTokens, lastsMs] of loads) {
 				const sum = peerSums.get(id) ?? noPeerLoad;
 				peerSums.set(id, {
@@ -171,12 +172,12 @@
 		}
 	};
 
-	const forgetPeerSums = (): void => {
-		peerSumsUntil = Number.NEGATIVE_INFINITY;
+	const invalidatePeerSums = (): void => {
+		peerSumsValidUntil = Number.NEGATIVE_INFINITY;
 	};
 
 	const peerLoad = (id: string, now: number): PeerSum => {
-		if (now > peerSumsUntil) {
+		if (now > peerSumsValidUntil) {
 			sumPeers(now);
 		}
 
@@ -191,9 +192,9 @@
 			const others = peerLoad(id, now);
 			const {told} = entry;
 			let running = load.running + others.running;
-			if (told !== undefined && now - told.at <= toldTtlMs) {
-				// The load at the time of the response, and what this daemon has sent since.
-				running = Math.max(running, told.report.running + told.report.waiting - told.ownThen + load.running);
+			if (told !== undefined && now - told.at <= endpointReportTtlMs) {
+				// The load at the time of the response, plus the change in this daemon's requests since.
+				running = Math.max(running, told.report.running + told.report.waiting - told.ownRunningThen + load.running);
 			}
 
 			return {
@@ -210,9 +211,9 @@
 		runMs: outputTokens => outputTokens * runMsPerToken,
 		start(id, size) {
 			const entry = entryOf(id);
-			const work: OpenWork = {size, startedAt: performance.now(), begunAt: undefined};
+			const work: OpenRequest = {size, startedAt: performance.now(), begunAt: undefined};
 			entry.open.add(work);
-			if (size.missingTokens >= largeTokens) {
+			if (size.missingTokens >= largePromptTokens) {
 				onLarge?.();
 			}
 
@@ -230,7 +231,7 @@
 		},
 		told(id, report) {
 			const entry = entryOf(id);
-			entry.told = {report, at: performance.now(), ownThen: entry.open.size};
+			entry.told = {report, at: performance.now(), ownRunningThen: entry.open.size};
 		},
 		learn(id, firstMs, missingTokens, pendingTokens) {
 			const entry = entryOf(id);
@@ -245,11 +246,11 @@
 		},
 		heard(report) {
 			peers.set(report.daemon, {at: performance.now(), loads: report.loads});
-			forgetPeerSums();
+			invalidatePeerSums();
 		},
 		leftPeer(daemon) {
 			peers.delete(daemon);
-			forgetPeerSums();
+			invalidatePeerSums();
 		},
 		forget(id) {
 			entries.delete(id);
--- a/packages/router/src/lib/placing/endpoint-choice.ts
+++ b/packages/router/src/lib/placing/endpoint-choice.ts
@@ -1,7 +1,7 @@
 /**
- * Chooses the endpoint with the shortest expected time to the first event, from its queue
- * and the uncached part of the prompt. Rendezvous hashing gives shared parts a home engine,
- * which competes with a sample of the others.
+ * Chooses the endpoint with the shortest expected time to the first event, estimated from its
+ * queue and the uncached part of the prompt. Rendezvous hashing assigns shared parts to a home
+ * engine, which is compared with a random sample of the others.
  */
 import {type LiveEndpoint} from '../fleet/live-endpoint.js';
 import {createSampler, type SamplerOptions} from './candidate-sample.js';
@@ -10,9 +10,9 @@
 	type ChoiceRequest, partKeys, type PromptNeed, scopeOf,
 } from './choice-request.js';
 import {type EndpointLoad} from './endpoint-book.js';
-import {type KeptParts} from './kept-parts.js';
+import {type KeptParts} from './stored-parts.js';
 import {createHomeFinder} from './prompt-home.js';
-import {createPromptReader, type Reading} from './prompt-reading.js';
+import {createPromptCostEstimator, type PromptCost} from './prompt-cost.js';
 import {type ResidentParts} from './resident-parts.js';
 
 /** The chosen endpoint, with the estimates behind it. */
@@ -20,9 +20,9 @@
 	endpoint: LiveEndpoint;
 	/** Weights version that the endpoint is believed to run. */
 	weights: number | undefined;
-	/** Scope of its cached parts. */
+	/** Cache scope: isolation key and weights version. */
 	cacheScope: string | undefined;
-	/** Prompt tokens that it is expected to compute. */
+	/** Prompt tokens that the endpoint is expected to compute. */
 	missingTokens: number;
 	pendingTokens: number;
 	/** Expected milliseconds to the first event. */
@@ -44,35 +44,35 @@
 	dataCentre: string;
 };
 
-/** The chooser. */
+/** Chooses endpoints and records the choices. */
 export type EndpointChoice = {
 	/** Returns `undefined` when no endpoint is eligible. */
 	choose: (request: ChoiceRequest) => Choice | undefined;
-	/** The request was sent, so its shared parts will be cached. */
+	/** Records that the request was sent, so its shared parts will be cached. */
 	placed: (choice: Choice, prompt: PromptNeed) => void;
 };
 
-/** Penalty for the traffic between data centres. */
+/** Penalty for an endpoint in another data centre. */
 const crossDataCentreMs = 4;
-/** Slowdown by each request in flight. */
+/** Estimated delay caused by each request in flight. */
 const perRunningMs = 1.2;
-/** Estimated time for which a plain service's request occupies a slot. */
+/** Estimated time for which a request to a service without engines occupies a slot. */
 const plainServiceMs = 40;
-/** Staleness from which old weights get a penalty, and the penalty. */
+/** Replaced weights are penalised once they are outdated by more than `staleAfterMs`. */
 const staleAfterMs = 1000;
 const stalePenaltyMs = 400;
-/** Fraction of an engine's memory above which it counts as full. */
+/** Fraction of an engine's memory above which new requests are expected to wait. */
 const fullMemoryRatio = 0.85;
-/** Estimated wait for memory at a full engine. */
+/** Estimated wait for memory above that fraction. */
 const memoryWaitMs = 400;
-/** Wait for a first event beyond which an engine is presumed hung. */
+/** An engine is presumed hung when a request waits longer than this for its first event. */
 const hangAfterMs = 1500;
 
-/** Creates a chooser. */
+/** Creates an endpoint choice without placements. */
 export function createEndpointChoice(options: EndpointChoiceOptions): EndpointChoice {
-	const {view, book, kept, resident} = options;
+	const {view, book: loadTracker, kept: storedParts, resident: residentParts} = options;
 	const candidatesOf = createCandidates(options);
-	const read = createPromptReader(options);
+	const costEstimatorFor = createPromptCostEstimator(options);
 	const homeOf = createHomeFinder();
 	const sample = createSampler(options);
 
@@ -89,7 +89,7 @@
 		return named !== undefined && named.outdatedMs(version) > staleAfterMs ? stalePenaltyMs : 0;
 	};
 
-	/** Fraction of the engine's memory that would be in use. */
+	/** Fraction of the engine's memory in use if it got this prompt. */
 	const memoryRatio = ({endpoint, load}: Candidate, prompt: PromptNeed): number =>
 		(load.memoryTokens + prompt.promptTokens + prompt.outputTokens) / (view.memoryTokens(endpoint.id) ?? Number.POSITIVE_INFINITY);
 
@@ -98,12 +98,12 @@
 		return load.running < endpoint.slots && hangMs(load) === 0 && memoryRatio(candidate, prompt) <= fullMemoryRatio;
 	};
 
-	const engineMs = (candidate: Candidate, prompt: PromptNeed, reading: Reading): number => {
+	const engineMs = (candidate: Candidate, prompt: PromptNeed, cost: PromptCost): number => {
 		const {endpoint, load} = candidate;
-		const msPerToken = book.msPerToken(endpoint.id);
+		const msPerToken = loadTracker.msPerToken(endpoint.id);
 		const usedRatio = memoryRatio(candidate, prompt);
-		return book.baseMs(endpoint.id) + ((load.pendingTokens + reading.missingTokens) * msPerToken)
-			+ reading.fetchMs + reading.strayMs
+		return loadTracker.baseMs(endpoint.id) + ((load.pendingTokens + cost.missingTokens) * msPerToken)
+			+ cost.fetchMs + cost.evictionMs
 			+ (load.running * perRunningMs)
 			+ (load.running >= endpoint.slots ? (load.running - endpoint.slots + 1) * perRunningMs * 10 : 0)
 			+ (usedRatio > fullMemoryRatio ? memoryWaitMs * usedRatio : 0)
@@ -118,23 +118,23 @@
 	};
 
 	const chooseEngine = (request: ChoiceRequest, prompt: PromptNeed, candidates: readonly Candidate[]): Choice | undefined => {
-		const readingOf = read(request, prompt);
+		const costOf = costEstimatorFor(request, prompt);
 		let best: Choice | undefined;
 		for (const candidate of sampleWithHome(request, prompt, candidates)) {
 			const {endpoint, weights, load} = candidate;
-			const reading = readingOf(candidate);
-			const expectedMs = engineMs(candidate, prompt, reading);
+			const cost = costOf(candidate);
+			const expectedMs = engineMs(candidate, prompt, cost);
 			if (best === undefined || expectedMs < best.expectedMs) {
 				best = {
 					endpoint,
 					weights,
 					cacheScope: scopeOf(prompt, weights),
-					missingTokens: reading.missingTokens,
+					missingTokens: cost.missingTokens,
 					pendingTokens: load.pendingTokens,
 					expectedMs,
-					fetchMs: reading.fetchMs,
-					fetchFrom: reading.fetchFrom,
-					saveTo: reading.saveTo,
+					fetchMs: cost.fetchMs,
+					fetchFrom: cost.fetchFrom,
+					saveTo: cost.saveTo,
 				};
 			}
 		}
@@ -163,10 +163,10 @@
 		},
 		placed({endpoint, weights, saveTo}, prompt) {
 			if (saveTo !== undefined) {
-				kept.saved(partKeys(prompt, weights));
+				storedParts.saved(partKeys(prompt, weights));
 			}
 
-			resident.sent({id: endpoint.id, weights}, prompt);
+			residentParts.sent({id: endpoint.id, weights}, prompt);
 		},
 	};
 }
--- a/packages/router/src/lib/placing/endpoint-limits.ts
+++ b/packages/router/src/lib/placing/endpoint-limits.ts
@@ -1,7 +1,8 @@
 /**
- * Keeps endpoints inside the requests a second that they say they take from all daemons
- * together. Rendezvous hashing names the daemons that may send to a limited endpoint, few
- * enough that each has a part worth having; so the sum holds without counting each request.
+ * Enforces the rate limits that endpoints report, in requests per second from all daemons
+ * together. Rendezvous hashing selects the daemons that may send to a limited endpoint, few
+ * enough that each gets a usable share. The total stays within the limit without coordination
+ * of single requests.
  */
 import {LRUCache} from 'lru-cache';
 import {type LiveEndpoint} from '../fleet/live-endpoint.js';
@@ -12,154 +13,157 @@
 /** Options of {@link createEndpointLimits}. */
 export type EndpointLimitsOptions = {
 	name: string;
-	/** Peers that are not away. */
+	/** Names of the live peers. */
 	peers: () => readonly string[];
-	/** Whether this process of an endpoint is in the list. */
+	/** Whether the endpoint is listed with this process start time. */
 	isListed: (id: string, startedAt: number) => boolean;
-	/** Called when peers must be told. */
+	/** Called when a limit changes enough to notify peers at once. */
 	onNews: () => void;
 	log: Log;
 };
 
-/** The limits of all endpoints; rates are in requests a second. */
+/** Limits of all endpoints; rates are in requests per second. */
 export type EndpointLimits = {
-	/** An answer of the endpoint named this limit, or none. */
+	/** Records the limit that an answer of the endpoint reported; `undefined` if a signed answer reported none. */
 	named: (endpoint: LiveEndpoint, perSecond: number | undefined) => void;
-	/** What a peer reports. */
+	/** Applies the limits in a peer's report. */
 	heard: (news: PeerReport['limits']) => void;
-	/** This daemon's knowledge, for its report. */
+	/** Known limits for this daemon's report, latest first. */
 	report: () => PeerReport['limits'];
 	/** Whether this daemon may send a request there now. */
-	mayTake: (endpoint: LiveEndpoint) => boolean;
-	/** A request is sent there. */
+	canSend: (endpoint: LiveEndpoint) => boolean;
+	/** Counts a request that is sent to the endpoint. */
 	take: (endpoint: LiveEndpoint) => void;
-	/** Milliseconds after which one of these endpoints takes another request; `undefined` if some have no limit. */
+	/** Estimated milliseconds until one of these endpoints accepts another request; `undefined` if any has no limit. */
 	waitMs: (endpoints: readonly LiveEndpoint[]) => number | undefined;
-	/** The endpoint is no longer listed. */
+	/** Removes an endpoint that is no longer listed. */
 	forget: (id: string) => void;
 };
 
 type Limit = {
 	startedAt: number;
-	/** `undefined` once it has ended. */
+	/** `undefined` once the limit has ended. */
 	perSecond: number | undefined;
-	/** When an answer said so. */
+	/** When an answer reported it. */
 	namedAt: number;
-	/** Requests that this daemon may send now. */
+	/** Token bucket: requests that this daemon may send now. */
 	tokens: number;
 	refilledAt: number;
-	/** This daemon's place in the order of daemons, and their number. */
-	place: {index: number; daemons: number; until: number};
+	/** Index of this daemon in the rendezvous order, and the number of daemons. */
+	position: {index: number; daemons: number; validUntil: number};
 };
 
-/** A limit that stands. */
-type StandingLimit = Limit & {perSecond: number};
+/** A limit that has not ended. */
+type ActiveLimit = Limit & {perSecond: number};
 
-/** Fraction of a limit that is used, since two daemons may take the same part while the fleet changes. */
+/** Fraction of a limit that is used. Two daemons may use the same share while the fleet changes. */
 const usedRatio = 0.8;
 
-/** Smallest part worth splitting a limit for, in requests a second. */
-const minPartPerSecond = 1;
+/** Minimum share of a limit per sending daemon, in requests per second. */
+const minSharePerSecond = 1;
 
-/** Lower bound of a limit, so that an endpoint is asked now and then whether it still stands. */
+/** Lower bound of the rate, so that occasional requests detect the end of a limit. */
 const minPerSecond = 0.25;
 
-/** Time in which a part may be saved up; at least one request may. */
+/** Maximum burst: the share of this time, but at least one request. */
 const burstMs = 1000;
 
-/** Time for which a daemon's place in the order is kept. */
-const placeMs = 500;
+/** Time for which a daemon's position in the order is cached. */
+const positionTtlMs = 500;
 
-/** Minimum time without an answer of a limited endpoint after which its daemons are taken for idle, and the next in order take over. */
-const minStaleMs = 10_000;
-/** The same in requests that could have been sent. */
-const staleRequests = 3;
+/**
+ * Minimum time without an answer from a limited endpoint after which its senders are presumed idle,
+ * and the next daemons in the order replace them.
+ */
+const minIdleMs = 10_000;
+/** The same, in requests that a sender could have sent. */
+const minIdleRequests = 3;
 
-/** Reports of one answer that reach this daemon on different ways differ by less. */
+/** Ages of the same answer, reported over different paths, differ by less. */
 const sameAnswerMs = 100;
 
-/** Change of a limit that peers are told at once. */
-const notableRatio = 0.25;
+/** Relative change of a limit of which peers are notified at once. */
+const significantChangeRatio = 0.25;
 
 /** Time for which the end of a limit is reported. */
-const endedMs = 30_000;
+const endedReportMs = 30_000;
 
 const maxLimits = 1024;
 const maxReported = 24;
 const msPerSecond = 1000;
 
-const nowhere: Limit['place'] = {index: 0, daemons: 1, until: Number.NEGATIVE_INFINITY};
+const unknownPosition: Limit['position'] = {index: 0, daemons: 1, validUntil: Number.NEGATIVE_INFINITY};
 
-/** Requests a second that are sent to an endpoint with this limit. */
-const usableOf = ({perSecond}: StandingLimit): number => Math.max(minPerSecond, perSecond * usedRatio);
+/** Requests per second that all daemons together send to an endpoint with this limit. */
+const usableRateOf = ({perSecond}: ActiveLimit): number => Math.max(minPerSecond, perSecond * usedRatio);
 
-/** Creates the limits of one daemon; none are known. */
+/** Creates the limits of one daemon; none are known yet. */
 export function createEndpointLimits(options: EndpointLimitsOptions): EndpointLimits {
 	const {name, log} = options;
 	const limits = new LRUCache<string, Limit>({max: maxLimits});
 
-	const isNotable = (before: number | undefined, after: number | undefined): boolean =>
+	const isSignificant = (before: number | undefined, after: number | undefined): boolean =>
 		before === undefined || after === undefined
 			? before !== after
-			: Math.abs(after - before) > before * notableRatio;
+			: Math.abs(after - before) > before * significantChangeRatio;
 
-	/** Takes over what an answer said at a time; returns whether that is notable. */
-	const set = (id: string, startedAt: number, {perSecond, namedAt}: Pick<Limit, 'perSecond' | 'namedAt'>): boolean => {
+	/** Sets the limit reported by an answer; returns whether the change is significant. */
+	const setLimit = (id: string, startedAt: number, {perSecond, namedAt}: Pick<Limit, 'perSecond' | 'namedAt'>): boolean => {
 		const known = limits.get(id);
 		const former = known?.startedAt === startedAt ? known : undefined;
 		limits.set(id, {
-			tokens: 0, refilledAt: performance.now(), place: nowhere, ...former, startedAt, perSecond, namedAt,
+			tokens: 0, refilledAt: performance.now(), position: unknownPosition, ...former, startedAt, perSecond, namedAt,
 		});
-		if (!isNotable(former?.perSecond, perSecond)) {
+		if (!isSignificant(former?.perSecond, perSecond)) {
 			return false;
 		}
 
-		log.info(perSecond === undefined ? 'Endpoint\'s limit has ended.' : 'Endpoint names a limit.', {
+		log.info(perSecond === undefined ? 'Endpoint\'s rate limit ended.' : 'Endpoint reported a rate limit.', {
 			endpoint: id, level: perSecond, ms: Math.round(performance.now() - namedAt),
 		});
 		return true;
 	};
 
-	/** The limit of this process of an endpoint, if one stands. */
-	const standing = ({id, startedAt}: Pick<LiveEndpoint, 'id' | 'startedAt'>): StandingLimit | undefined => {
+	/** The current limit of this process of an endpoint, if any. */
+	const activeLimit = ({id, startedAt}: Pick<LiveEndpoint, 'id' | 'startedAt'>): ActiveLimit | undefined => {
 		const limit = limits.get(id);
-		return limit?.startedAt === startedAt && limit.perSecond !== undefined ? limit as StandingLimit : undefined;
+		return limit?.startedAt === startedAt && limit.perSecond !== undefined ? limit as ActiveLimit : undefined;
 	};
 
-	const placeOf = (id: string, limit: Limit, now: number): Limit['place'] => {
-		if (now >= limit.place.until) {
+	const positionOf = (id: string, limit: Limit, now: number): Limit['position'] => {
+		if (now >= limit.position.validUntil) {
 			const order = orderedBy(`limit ${id}`, [...options.peers(), name]);
-			limit.place = {index: order.indexOf(name), daemons: order.length, until: now + placeMs};
+			limit.position = {index: order.indexOf(name), daemons: order.length, validUntil: now + positionTtlMs};
 		}
 
-		return limit.place;
+		return limit.position;
 	};
 
-	/** Requests a second that this daemon may send. */
-	const partOf = (id: string, limit: StandingLimit, now: number): number => {
-		const {index, daemons} = placeOf(id, limit, now);
-		const senders = Math.min(daemons, Math.max(1, Math.floor(limit.perSecond / minPartPerSecond)));
-		const part = usableOf(limit) / senders;
-		const staleMs = Math.max(minStaleMs, staleRequests * msPerSecond / part);
-		const skipped = Math.floor((now - limit.namedAt) / staleMs) * senders;
-		return (index + daemons - (skipped % daemons)) % daemons < senders ? part : 0;
+	/** Requests per second that this daemon may send to the endpoint; 0 if it isn't among the senders. */
+	const shareOf = (id: string, limit: ActiveLimit, now: number): number => {
+		const {index, daemons} = positionOf(id, limit, now);
+		const senders = Math.min(daemons, Math.max(1, Math.floor(limit.perSecond / minSharePerSecond)));
+		const share = usableRateOf(limit) / senders;
+		const idleMs = Math.max(minIdleMs, minIdleRequests * msPerSecond / share);
+		const skipped = Math.floor((now - limit.namedAt) / idleMs) * senders;
+		return (index + daemons - (skipped % daemons)) % daemons < senders ? share : 0;
 	};
 
-	/** Requests that this daemon may send now. */
-	const refill = (id: string, limit: StandingLimit): number => {
+	/** Refills the token bucket; returns the number of requests that this daemon may send now. */
+	const refill = (id: string, limit: ActiveLimit): number => {
 		const now = performance.now();
-		const part = partOf(id, limit, now);
-		const most = Math.max(1, part * burstMs / msPerSecond);
-		limit.tokens = Math.min(most, limit.tokens + (part * (now - limit.refilledAt) / msPerSecond));
+		const share = shareOf(id, limit, now);
+		const most = Math.max(1, share * burstMs / msPerSecond);
+		limit.tokens = Math.min(most, limit.tokens + (share * (now - limit.refilledAt) / msPerSecond));
 		limit.refilledAt = now;
-		return part === 0 ? 0 : limit.tokens;
+		return share === 0 ? 0 : limit.tokens;
 	};
 
 	return {
 		named({id, startedAt}, perSecond) {
 			const known = limits.get(id);
-			const isNews = perSecond !== undefined || (known?.startedAt === startedAt && known.perSecond !== undefined);
-			if (isNews && set(id, startedAt, {perSecond, namedAt: performance.now()})) {
+			const shouldRecord = perSecond !== undefined || (known?.startedAt === startedAt && known.perSecond !== undefined);
+			if (shouldRecord && setLimit(id, startedAt, {perSecond, namedAt: performance.now()})) {
 				options.onNews();
 			}
 		},
@@ -169,7 +173,7 @@
 				const known = limits.get(id);
 				const isOlder = known?.startedAt === startedAt && namedAt <= known.namedAt + sameAnswerMs;
 				if (!isOlder && options.isListed(id, startedAt)) {
-					set(id, startedAt, {perSecond: perSecond ?? undefined, namedAt});
+					setLimit(id, startedAt, {perSecond: perSecond ?? undefined, namedAt});
 				}
 			}
 		},
@@ -177,7 +181,7 @@
 			const now = performance.now();
 			const news: PeerReport['limits'] = [];
 			for (const [id, {startedAt, perSecond, namedAt}] of limits.entries()) {
-				const isCurrent = perSecond !== undefined || now - namedAt <= endedMs;
+				const isCurrent = perSecond !== undefined || now - namedAt <= endedReportMs;
 				if (isCurrent && options.isListed(id, startedAt)) {
 					news.push([id, startedAt, perSecond ?? null, Math.round(now - namedAt)]);
 				}
@@ -185,12 +189,12 @@
 
 			return news.toSorted((a, b) => a[3] - b[3]).slice(0, maxReported);
 		},
-		mayTake(endpoint) {
-			const limit = standing(endpoint);
+		canSend(endpoint) {
+			const limit = activeLimit(endpoint);
 			return limit === undefined || refill(endpoint.id, limit) >= 1;
 		},
 		take(endpoint) {
-			const limit = standing(endpoint);
+			const limit = activeLimit(endpoint);
 			if (limit !== undefined) {
 				limit.tokens--;
 			}
@@ -198,12 +202,12 @@
 		waitMs(endpoints) {
 			let perSecond = 0;
 			for (const endpoint of endpoints) {
-				const limit = standing(endpoint);
+				const limit = activeLimit(endpoint);
 				if (limit === undefined) {
 					return undefined;
 				}
 
-				perSecond += usableOf(limit);
+				perSecond += usableRateOf(limit);
 			}
 
 			return perSecond === 0 ? undefined : msPerSecond / perSecond;
--- a/packages/router/src/lib/placing/prompt-home.ts
+++ b/packages/router/src/lib/placing/prompt-home.ts
@@ -1,6 +1,6 @@
 /**
- * Home engine of a prompt's shared parts: rendezvous hashing of the deepest shared part,
- * so that all daemons agree without coordination.
+ * Home engine of a prompt's shared parts, by rendezvous hashing of the deepest shared part.
+ * All daemons choose the same home without coordination.
  */
 import {type LiveEndpoint} from '../fleet/live-endpoint.js';
 import {halvesOf, rankOf, seedOfName} from '../routing/rendezvous.js';
@@ -16,10 +16,13 @@
 	return hash;
 }
 
-/** Returns the id of the home engine; considers all live endpoints, so that daemons agree. */
+/**
+ * Returns the id of the home engine, or `undefined` without shared parts. Takes all live endpoints,
+ * since daemons may differ in which of them are eligible.
+ */
 export type FindHome = (prompt: PromptNeed, endpoints: readonly LiveEndpoint[]) => string | undefined;
 
-/** Creates a look-up that caches the seeds of endpoint names. */
+/** Creates a look-up that caches the hash seeds of endpoint ids. */
 export function createHomeFinder(): FindHome {
 	const seeds = new Map<string, number>();
 
--- a/packages/router/src/lib/placing/resident-parts.ts
+++ b/packages/router/src/lib/placing/resident-parts.ts
@@ -1,6 +1,6 @@
 /**
- * Shared prompt parts in engines' memory. Models each engine's LRU cache from the prompts
- * that this daemon and its peers sent there.
+ * Tracks the shared prompt parts in engines' memory. Models each engine's LRU cache from the
+ * prompts that this daemon and its peers sent to it.
  */
 import {LRUCache} from 'lru-cache';
 import {maxReportedPlacements} from '../peers/peer-report.js';
@@ -8,31 +8,31 @@
 	leadingTokens, partKey, partKeys, type PromptNeed, type PromptPartTokens, scopeOf, sharedPartsOf,
 } from './choice-request.js';
 
-/** A prompt sent to an engine, as reports carry it; `ownTokens` are not shared with other prompts. */
+/** A prompt sent to an engine, as encoded in peer reports. `ownTokens` are prompt and output tokens that no other prompt shares. */
 export type Placement = [engine: string, scope: string, ownTokens: number, parts: PromptPartTokens[]];
 
-/** An engine and the weights version that it would use. */
+/** An engine and the weights version that it would run the prompt on. */
 export type EngineWeights = {id: string; weights: number | undefined};
 
-/** The record. */
+/** Model of the engines' caches. */
 export type ResidentParts = {
 	/** Tokens of the prompt's leading shared parts in the engine's memory. */
 	tokens: (engine: EngineWeights, prompt: PromptNeed) => number;
 	/** Engines that hold the prompt's deepest shared part under these weights. */
 	holders: (weights: number | undefined, prompt: PromptNeed) => Iterable<string>;
-	/** A prompt was sent to the engine. */
+	/** Records that a prompt was sent to the engine. */
 	sent: (engine: EngineWeights, prompt: PromptNeed) => void;
-	/** Peers sent prompts. */
+	/** Adds prompts that peers report as sent. */
 	heard: (placements: readonly Placement[]) => void;
-	/** Returns and clears the latest placements since the last call; peers learn of older ones by the next use. */
+	/** Returns and clears the latest `maxReportedPlacements` placements since the last call. Older ones reach peers when the engine is used again. */
 	takeNews: () => Placement[];
-	/** The endpoint is gone, or was restarted. */
+	/** Removes an endpoint that is gone or was restarted. */
 	forget: (id: string) => void;
 };
 
 /** Options of {@link createResidentParts}. */
 export type ResidentPartsOptions = {
-	/** Tokens that an engine's memory holds; `undefined` if unknown. */
+	/** Capacity of an engine's memory in tokens; `undefined` if unknown. */
 	memoryTokens: (id: string) => number | undefined;
 };
 
@@ -46,10 +46,10 @@
 	const memories = new Map<string, Memory>();
 	/** Engines that hold a part, by cache key. */
 	const holdersByKey = new Map<string, Set<string>>();
-	let news: Placement[] = [];
-	let prompts = 0;
+	let unreported: Placement[] = [];
+	let promptCount = 0;
 
-	const evicted = (id: string, key: string): void => {
+	const removeHolder = (id: string, key: string): void => {
 		const holders = holdersByKey.get(key);
 		holders?.delete(id);
 		if (holders?.size === 0) {
@@ -69,7 +69,7 @@
 			sizeCalculation: tokens => tokens,
 			dispose(_tokens, key, reason) {
 				if (reason !== 'set') {
-					evicted(id, key);
+					removeHolder(id, key);
 				}
 			},
 		});
@@ -77,7 +77,7 @@
 		return memory;
 	};
 
-	const note = ([id, scope, ownTokens, parts]: Placement): void => {
+	const record = ([id, scope, ownTokens, parts]: Placement): void => {
 		const memory = memoryOf(id);
 		if (memory === undefined) {
 			return;
@@ -91,9 +91,9 @@
 			}
 		}
 
-		// The unshared part is never reused, but occupies memory.
-		prompts++;
-		memory.set(`own ${prompts}`, Math.max(1, ownTokens));
+		// The unshared part is never reused, but it occupies memory.
+		promptCount++;
+		memory.set(`own ${promptCount}`, Math.max(1, ownTokens));
 	};
 
 	return {
@@ -112,17 +112,17 @@
 			const placement: Placement = [
 				id, scopeOf(prompt, weights), prompt.promptTokens - sharedTokens + prompt.outputTokens, shared.map(part => [part.id, part.tokens]),
 			];
-			note(placement);
-			news = [...news, placement].slice(-maxReportedPlacements);
+			record(placement);
+			unreported = [...unreported, placement].slice(-maxReportedPlacements);
 		},
 		heard(placements) {
 			for (const placement of placements) {
-				note(placement);
+				record(placement);
 			}
 		},
 		takeNews() {
-			const taken = news;
-			news = [];
+			const taken = unreported;
+			unreported = [];
 			return taken;
 		},
 		forget(id) {
--- a/packages/router/src/lib/placing/kept-parts.ts
+++ b/packages/router/src/lib/placing/stored-parts.ts
@@ -1,22 +1,22 @@
 /**
- * Shared prompt parts in the cache store, as saved on behalf of this daemon and its peers.
- * All engines share the store's link, so parts that are known are not saved again.
+ * Tracks the shared prompt parts in the cache store that requests of this daemon and its peers
+ * saved. All engines share the store's link, so known parts are not saved again.
  */
 import {maxReportedParts} from '../peers/peer-report.js';
 
-/** Recently saved parts, by cache key. */
+/** Recently saved parts; keys are cache keys, see `partKey`. */
 export type KeptParts = {
 	/** Whether the part was saved recently. */
 	isKnown: (key: string) => boolean;
-	/** A request that saves these parts was sent. */
+	/** Records that a request which saves these parts was sent. */
 	saved: (keys: readonly string[]) => void;
-	/** A peer had these parts saved. */
+	/** Adds the parts that a peer reports as saved. */
 	heard: (keys: readonly string[]) => void;
-	/** Returns and clears the latest keys saved since the last call; older ones may be saved twice. */
+	/** Returns and clears the latest `maxReportedParts` keys saved since the last call. Peers may save older ones again. */
 	takeNews: () => string[];
 };
 
-/** Parts are saved again after this time, since the store evicts without notice. */
+/** Parts are saved again after this time, because the store doesn't report evictions. */
 const savedTtlMs = 20_000;
 
 const maxKeys = 4096;
@@ -24,9 +24,9 @@
 /** Creates an empty record. */
 export function createKeptParts(): KeptParts {
 	const savedAt = new Map<string, number>();
-	let news: string[] = [];
+	let unreported: string[] = [];
 
-	const note = (key: string): void => {
+	const record = (key: string): void => {
 		savedAt.delete(key);
 		savedAt.set(key, performance.now());
 		if (savedAt.size > maxKeys) {
@@ -43,22 +43,22 @@
 		saved(keys) {
 			for (const key of keys) {
 				if (!isKnown(key)) {
-					news.push(key);
+					unreported.push(key);
 				}
 
-				note(key);
+				record(key);
 			}
 
-			news = news.slice(-maxReportedParts);
+			unreported = unreported.slice(-maxReportedParts);
 		},
 		heard(keys) {
 			for (const key of keys) {
-				note(key);
+				record(key);
 			}
 		},
 		takeNews() {
-			const taken = news;
-			news = [];
+			const taken = unreported;
+			unreported = [];
 			return taken;
 		},
 	};
--- a/packages/router/src/test/placing/endpoint-choice.test.ts
+++ b/packages/router/src/test/placing/endpoint-choice.test.ts
@@ -89,9 +89,9 @@
 		assert.lengthOf(homes, 8);
 	});
 
-	it('leaves an ended process alone however many have ended, until the id starts again', () => {
-		// Most engines crash and come back under other ids while the list stands
-		// still for seconds. Each request sent to an old one would be refused.
+	it('excludes endpoints whose process has ended, however many, until their id starts again', () => {
+		// Guards against requests to ended processes, which are refused: most engines
+		// crash and return under other ids while the list isn't updated for seconds.
 		for (let index = 0; index < 6; index++) {
 			presence.replaced(view.endpoint(`e${index}`)!);
 		}
@@ -105,9 +105,9 @@
 		assert.sameMembers([...homes], ['e0', 'e6', 'e7']);
 	});
 
-	it('asks an engine that declined last for a moment, and asks it when all have declined', () => {
-		// An engine that loads weights refuses all it gets. Without a memory of that
-		// the callers of its cached prompts are refused one after another.
+	it('avoids an engine briefly after it declined a request, unless all have declined', () => {
+		// An engine that loads weights refuses all requests. If that isn't remembered,
+		// the callers of the prompts that it has cached are refused one after another.
 		const {id} = choose(prompt('s'))!.endpoint;
 		presence.declined(view.endpoint(id)!);
 		assert.notEqual(choose(prompt('s'))!.endpoint.id, id);
@@ -120,9 +120,9 @@
 		assert.isDefined(choose(prompt('s')));
 	});
 
-	it('spreads a hot subject once its engine has more to read than another would from the start', () => {
-		// A third of all requests are about one subject. Its engine alone would let
-		// callers wait behind each other; the store gives its parts to others cheaply.
+	it('spreads prompts with the same subject once its home engine would answer later than an engine without the cached parts', () => {
+		// Guards against a queue at the home engine when a third of all requests share
+		// one subject; other engines fetch the shared parts from the store at low cost.
 		const used = new Map<string, number>();
 		for (let count = 0; count < 40; count++) {
 			const need = prompt('hot');
@@ -136,15 +136,15 @@
 		assert.isAtMost(Math.max(...used.values()), 10);
 	});
 
-	it('asks the store for shared parts, apart by weights and for an isolated workspace', () => {
+	it('fetches shared parts from the store, with a separate cache scope for each weights version and isolated workspace', () => {
 		const open = choose(prompt('s1'))!;
-		const walled = choose(prompt('s1', {wall: 'club'}))!;
-		assert.deepEqual([open.fetchFrom, open.cacheScope, walled.cacheScope], ['10.9.0.1:80', ':1', 'club:1']);
+		const isolated = choose(prompt('s1', {wall: 'club'}))!;
+		assert.deepEqual([open.fetchFrom, open.cacheScope, isolated.cacheScope], ['10.9.0.1:80', ':1', 'club:1']);
 	});
 
-	it('has shared parts fetched from an engine that holds them, and from the store when none does', () => {
-		// The store has one link for all engines. At 26 long prompts a second it was
-		// taken by three quarters and more, and fetches waited for each other.
+	it('fetches shared parts from an engine that holds them, and from the store when none does', () => {
+		// All engines share the store's link. At 26 long prompts per second it was
+		// used to three quarters and more, and fetches queued.
 		const first = choose(prompt('s1'))!;
 		choice.placed(first, prompt('s1'));
 		kept.heard([':1 top', ':1 s1', ':1 s2']);
@@ -153,8 +153,8 @@
 		assert.equal(choose(prompt('s2'))!.fetchFrom, '10.9.0.1:80');
 	});
 
-	it('serves a prompt elsewhere while its home names a limit, and at home afterwards without reading it again', () => {
-		// Guards against a shared part that is read twice for each time that an engine is in need.
+	it('places a prompt elsewhere while its home engine reports a limit, and at home afterwards without computing it again', () => {
+		// Guards against computing a shared part twice each time an engine reports a limit.
 		const home = choose(prompt('s1'))!;
 		choice.placed(home, prompt('s1'));
 		limits.named(home.endpoint, 1);
@@ -167,8 +167,8 @@
 		assert.deepEqual([back.endpoint.id, back.missingTokens, back.fetchMs], [home.endpoint.id, 2900, 0]);
 	});
 
-	it('fetches from no engine that fails, changes or has other weights', () => {
-		// A dead source costs the fetching engine some hundred milliseconds.
+	it('fetches from no engine that fails, is changing weights or has other weights', () => {
+		// A fetch from a dead source delays the request by some hundred milliseconds.
 		const first = choose(prompt('s1'))!;
 		const {id} = first.endpoint;
 		choice.placed(first, prompt('s1'));
@@ -184,9 +184,9 @@
 		assert.equal(source(), '10.9.0.1:80');
 	});
 
-	it('reads anew what a slow link would bring later than reading', () => {
-		// The same parts over a link a thousand times as slow: 3,800 tokens would take
-		// minutes, and reading them a tenth of a second.
+	it('bounds the cost of fetching over a slow link by the time to compute the parts', () => {
+		// Over a link a thousand times slower 3,800 tokens would take minutes to fetch,
+		// and a tenth of a second to compute.
 		const {document} = view.current()!;
 		const slow = {...document, version: 2, cacheStores: [{...document.cacheStores[0], linkBytesPerMs: 39_000}]};
 		kept.heard([':1 top', ':1 s1']);
@@ -197,9 +197,9 @@
 		assert.isAbove(late.expectedMs, fast.expectedMs);
 	});
 
-	it('sends no long answer to an engine that is soon emptied, and short ones still', () => {
-		// An engine waits for its answers to end before it loads weights, and serves
-		// nobody meanwhile: an answer of 4 s keeps it away for 4 s more.
+	it('places no request with a long answer on an engine that drains soon, but still places short ones', () => {
+		// An engine waits for its answers to end before it loads weights, and accepts no
+		// requests meanwhile: an answer of 4 s makes it unavailable for 4 s more.
 		const long = prompt('s1', {outputTokens: 800});
 		const {id} = choose(long)!.endpoint;
 		view.acceptWeights('m', 2, 0);
@@ -215,10 +215,10 @@
 		assert.equal(choose(long)!.endpoint.id, id);
 	});
 
-	it('counts a prompt as cold when nobody has read its shared parts under the weights', () => {
-		// An engine has just changed its weights and stands empty and free. All
-		// daemons know that, and none knows what the others send there; a prompt that
-		// looked half cached would make it the best place for each of them.
+	it('counts shared parts as missing when no engine has computed them under the same weights', () => {
+		// Guards against all daemons choosing an engine that has just changed its weights.
+		// All know that it is idle, but not what the others send to it; if a prompt also
+		// seemed half cached there, it would be the best choice for each of them.
 		kept.heard([':1 top', ':1 s1']);
 		assert.equal(choose(prompt('s1'))!.missingTokens, 2900);
 		versions.seen(choose(prompt('s1'))!.endpoint.id, 2);
@@ -231,9 +231,9 @@
 		assert.equal(choose(prompt('s1'))!.missingTokens, 6700);
 	});
 
-	it('keeps to its part of the connections that an endpoint accepts', () => {
-		// Ten daemons share 100 connections. Beyond them the endpoint resets what it
-		// gets, and an order on such a connection may have run.
+	it('keeps to its share of the connections that an endpoint accepts', () => {
+		// Ten daemons share 100 connections. The endpoint resets further ones, and an
+		// order on a reset connection may have run.
 		for (const id of Array.from({length: 8}, (_item, index) => `e${index}`)) {
 			for (let count = 0; count < 10; count++) {
 				book.start(id, {missingTokens: 0, memoryTokens: 0, outputTokens: 0});
@@ -243,9 +243,9 @@
 		assert.isUndefined(choose(undefined));
 	});
 
-	it('has shared parts saved once for all daemons, and again after a while or with other weights', () => {
-		// Each saved prompt takes the store's link from those that fetch. A second
-		// copy of the same parts helps nobody.
+	it('saves shared parts once for all daemons, and again after 20 s', () => {
+		// Guards against repeated saves of the same parts, which take capacity of the
+		// store's link from fetches.
 		const send = (need: PromptNeed): string | undefined => {
 			const chosen = choose(need)!;
 			choice.placed(chosen, need);
@@ -261,7 +261,7 @@
 		assert.equal(send(prompt('s1')), '10.9.0.1:80');
 	});
 
-	it('uses no engine that leaves, changes its weights or has had the request', () => {
+	it('excludes engines that are leaving, are changing weights or have been tried', () => {
 		for (let index = 0; index < 7; index++) {
 			const id = `e${index}`;
 			if (index < 3) {
@@ -275,7 +275,7 @@
 		assert.isUndefined(choose(prompt('s1'), {excluded: new Set(['e5', 'e6', 'e7'])}));
 	});
 
-	it('begins nothing on weights that were replaced too long ago', () => {
+	it('excludes engines whose weights were replaced too long ago', () => {
 		view.acceptWeights('m', 2, 0);
 		versions.seen('e4', 2);
 		clock.tick(7000);
@@ -284,7 +284,7 @@
 		}
 	});
 
-	it('sends nothing to a queue in which replaced weights would become too old', () => {
+	it('excludes engines whose replaced weights would become too old while the request is queued', () => {
 		view.acceptWeights('m', 2, 0);
 		clock.tick(5000);
 		for (let index = 0; index < 8; index++) {
@@ -297,13 +297,13 @@
 		}
 	});
 
-	it('begins nothing on weights of unknown age after the whole fleet has restarted', () => {
+	it('excludes weights of unknown age after the whole fleet has restarted', () => {
 		view.acceptWeights('m', 5, Number.POSITIVE_INFINITY);
 		versions.seen('e2', 3);
 		assert.isUndefined(choose(prompt('s1')));
 	});
 
-	it('begins on replaced weights after a restart when the store says that they were replaced lately', () => {
+	it('accepts replaced weights after a restart when the store reports that they were replaced recently', () => {
 		view.acceptWeights('m', 5, Number.POSITIVE_INFINITY);
 		view.restoreWeights('m', {version: 4, ageMs: 60_000, isDated: true});
 		view.boundWeights('m', 5, 1000);
@@ -313,8 +313,8 @@
 		assert.isUndefined(choose(prompt('s1')));
 	});
 
-	it('spreads prompts without shared parts over engines that look alike', () => {
-		// Daemons with the same knowledge would all send to the first engine of the list.
+	it('spreads prompts without shared parts over engines with equal estimates', () => {
+		// Guards against daemons with the same information all choosing the first engine of the list.
 		const used = new Set<string>();
 		for (let count = 0; count < 100; count++) {
 			used.add(choose(prompt('s1', {parts: [{id: 'own', tokens: 800}], promptTokens: 800}))!.endpoint.id);
@@ -323,8 +323,8 @@
 		assert.lengthOf(used, 8);
 	});
 
-	it('finds the only engine with a free slot, memory and no silent request', () => {
-		// A sample of two engines that can't begin would let the prompt wait.
+	it('finds the only engine with a free slot, free memory and no overdue request', () => {
+		// If neither of two sampled engines could begin at once, the prompt would wait.
 		for (let index = 0; index < 7; index++) {
 			const [count, memoryTokens] = [[64, 0], [1, 96_000], [1, 0]][index % 3];
 			for (let started = 0; started < count; started++) {
@@ -338,14 +338,14 @@
 		}
 	});
 
-	it('goes round an engine that does not answer', () => {
+	it('avoids an engine that does not answer', () => {
 		const chosen = choose(prompt('s1'))!;
 		book.start(chosen.endpoint.id, {missingTokens: 100, memoryTokens: 100, outputTokens: 0});
 		clock.tick(4000);
 		assert.notEqual(choose(prompt('s1'))!.endpoint.id, chosen.endpoint.id);
 	});
 
-	it('counts what peers have under way', () => {
+	it('includes the load that peers report', () => {
 		const chosen = choose(prompt('s1'))!;
 		book.heard(reportOf('vm-2', {loads: [[chosen.endpoint.id, 6, 40_000, 60_000, 0]]}));
 		assert.notEqual(choose(prompt('s1'))!.endpoint.id, chosen.endpoint.id);
--- a/packages/router/src/test/placing/endpoint-limits.test.ts
+++ b/packages/router/src/test/placing/endpoint-limits.test.ts
@@ -11,12 +11,12 @@
 
 describe('createEndpointLimits', () => {
 	let clock: FakeTimers.Clock;
-	let news: number;
+	let notifications: number;
 	let listed: Set<string>;
 
 	beforeEach(() => {
 		clock = FakeTimers.install({toFake: ['performance']});
-		news = 0;
+		notifications = 0;
 		listed = new Set(['e1 1', 'e2 1']);
 	});
 
@@ -29,18 +29,18 @@
 		peers: () => peers.filter(peer => peer !== name),
 		isListed: (id, startedAt) => listed.has(`${id} ${startedAt}`),
 		onNews() {
-			news++;
+			notifications++;
 		},
 		log: createSilentLog(),
 	});
 
-	/** Requests that each daemon can send within a time, asking every 10 ms for up to 100. */
+	/** Requests that each daemon can send within `ms`, with up to 100 attempts every 10 ms. */
 	const sendFor = (daemons: readonly EndpointLimits[], ms: number): number[] => {
 		const sent = daemons.map(() => 0);
 		for (let passed = 0; passed < ms; passed += 10) {
 			clock.tick(10);
 			for (const [index, limits] of daemons.entries()) {
-				for (let count = 0; count < 100 && limits.mayTake(endpoint); count++) {
+				for (let count = 0; count < 100 && limits.canSend(endpoint); count++) {
 					limits.take(endpoint);
 					sent[index]++;
 				}
@@ -50,13 +50,13 @@
 		return sent;
 	};
 
-	it('lets a lone daemon send four fifths of the limit', () => {
+	it('lets a single daemon send four fifths of the limit', () => {
 		const limits = open('a');
 		limits.named(endpoint, 2);
 		assert.closeTo(sendFor([limits], 10_000)[0], 16, 1);
 	});
 
-	it('lets one of many daemons send to an endpoint with a small limit, and each to one with a large', () => {
+	it('lets one of many daemons send to an endpoint with a small limit, and all to one with a large limit', () => {
 		const names = Array.from({length: 50}, (_item, index) => `vm-${index}`);
 		const daemons = names.map(name => open(name, names));
 		const sentIn = (limit: number): number[] => {
@@ -71,16 +71,16 @@
 		assert.lengthOf(sentIn(100).filter(Boolean), 50);
 	});
 
-	it('takes a limit that peers have heard, and tells its own at once', () => {
+	it('applies a limit that a peer reports, and notifies peers of its own at once', () => {
 		const [a, b] = [open('a'), open('b')];
 		a.named(endpoint, 1);
-		assert.equal(news, 1);
+		assert.equal(notifications, 1);
 		b.heard(a.report());
-		assert.isFalse(b.mayTake(endpoint));
-		assert.equal(news, 1);
+		assert.isFalse(b.canSend(endpoint));
+		assert.equal(notifications, 1);
 	});
 
-	it('ends with the first signed answer that names none, for peers as well, whatever they hear late', () => {
+	it('ends with the first signed answer that reports no limit, also for peers and despite late reports', () => {
 		const [a, b] = [open('a'), open('b')];
 		a.named(endpoint, 1);
 		b.heard(a.report());
@@ -90,28 +90,28 @@
 		b.heard(a.report());
 		clock.tick(50);
 		b.heard(late.map(([id, startedAt, perSecond, ageMs]) => [id, startedAt, perSecond, ageMs + 1050]));
-		assert.deepEqual([a.mayTake(endpoint), b.mayTake(endpoint)], [true, true]);
+		assert.deepEqual([a.canSend(endpoint), b.canSend(endpoint)], [true, true]);
 	});
 
-	it('holds for the process that named it, and no later one', () => {
+	it('applies only to the process that reported the limit', () => {
 		const limits = open('a');
 		limits.named(endpoint, 1);
-		assert.isTrue(limits.mayTake(endpointAt('e1', 2)));
-		assert.isTrue(limits.mayTake(endpointAt('e2')));
+		assert.isTrue(limits.canSend(endpointAt('e1', 2)));
+		assert.isTrue(limits.canSend(endpointAt('e2')));
 	});
 
-	it('isn\'t taken over for endpoints that aren\'t listed', () => {
-		// Guards against limits of endpoints that are gone, which daemons tell each other for ever.
+	it('ignores reported limits of endpoints that are not listed', () => {
+		// Guards against limits of removed endpoints that daemons report to each other indefinitely.
 		const [a, b] = [open('a'), open('b')];
 		a.named(endpoint, 1);
 		const report = a.report();
 		listed.delete('e1 1');
 		b.heard(report);
-		assert.isTrue(b.mayTake(endpoint));
+		assert.isTrue(b.canSend(endpoint));
 		assert.deepEqual(a.report(), []);
 	});
 
-	it('passes on to the next daemon when the first sends nothing', () => {
+	it('lets the next daemon send when the first sends nothing', () => {
 		const names = ['a', 'b', 'c'];
 		const daemons = names.map(name => open(name, names));
 		for (const daemon of daemons) {
@@ -122,7 +122,7 @@
 		for (let second = 0; second < 40; second++) {
 			clock.tick(1000);
 			for (const [index, daemon] of daemons.entries()) {
-				if (daemon.mayTake(endpoint)) {
+				if (daemon.canSend(endpoint)) {
 					sending.add(index);
 				}
 			}
@@ -131,19 +131,19 @@
 		assert.equal(sending.size, 3);
 	});
 
-	it('lets an endpoint that takes none be asked now and then', () => {
+	it('allows occasional requests to an endpoint with a limit of 0', () => {
 		const limits = open('a');
 		limits.named(endpoint, 0);
 		assert.closeTo(sendFor([limits], 16_000)[0], 4, 1);
 	});
 
-	it('bears a limit beyond all bounds', () => {
+	it('accepts the largest number as a limit', () => {
 		const limits = open('a');
 		limits.named(endpoint, Number.MAX_VALUE);
 		assert.isAtLeast(sendFor([limits], 100)[0], 900);
 	});
 
-	it('says when a limited service takes another request', () => {
+	it('estimates when a service with limits accepts another request', () => {
 		const limits = open('a');
 		assert.isUndefined(limits.waitMs([endpoint]));
 		limits.named(endpoint, 1);
--- a/packages/router/src/test/placing/endpoint-book.test.ts
+++ b/packages/router/src/test/placing/endpoint-load-tracker.test.ts
@@ -4,11 +4,11 @@
 import {createEndpointBook} from '../../placing.js';
 import {reportOf} from '../peers/empty-report.js';
 
-describe('createEndpointBook', () => {
-	it('says at once that a large prompt began, and not that a small one did', () => {
-		// An engine becomes free and every daemon sees it so until the next round of
-		// reports. Seven prompts of six daemons went there within 0.12 s, and the
-		// last first event came after 1.3 s.
+describe('createEndpointLoadTracker', () => {
+	it('notifies at once of a large prompt, and not of a small one', () => {
+		// Guards against several daemons choosing the same idle engine before their next
+		// reports: seven prompts from six daemons went to one engine within 0.12 s, and
+		// the last of them got its first event after 1.3 s.
 		let told = 0;
 		const book = createEndpointBook({
 			onLarge() {
@@ -22,8 +22,8 @@
 		assert.deepEqual(book.report(), [['e1', 2, 10_000, 10_200, 0]]);
 	});
 
-	it('tells how fast an engine reads from what comes on top of reading', () => {
-		// Counted as reading, the fixed part made each token of long prompts look too slow.
+	it('estimates the time per prompt token apart from the fixed time', () => {
+		// Counted per token, the fixed time made long prompts look too slow.
 		const book = createEndpointBook();
 		const firstMs = (tokens: number) => 68 + (tokens * 0.011);
 		for (let count = 0; count < 60; count++) {
@@ -35,14 +35,14 @@
 		assert.approximately(expectedMs / firstMs(30_000), 1, 0.1);
 	});
 
-	it('tells how long the answers under way last, those of peers included', () => {
+	it('estimates when the last answer in flight ends, including those of peers', () => {
 		const clock = FakeTimers.install({toFake: ['performance']});
 		try {
 			const endpoint: LiveEndpoint = {
 				id: 'e1', service: 'engines', address: '10.0.0.1:80', dataCentre: 'a', slots: 8, isLeaving: false, startedAt: 1, reportNumber: 1, weights: new Map(),
 			};
 			const book = createEndpointBook();
-			// Answers of 200 tokens take a second from their first event.
+			// Answers of 200 tokens take 1 s from their first event.
 			for (let count = 0; count < 200; count++) {
 				const seen = book.start('e1', {missingTokens: 0, memoryTokens: 0, outputTokens: 200});
 				seen.begun();
@@ -66,8 +66,8 @@
 		}
 	});
 
-	it('takes the sum of what peers said last, without those that left or fell silent', () => {
-		// A memoised sum that outlived a report would show a free engine as busy.
+	it('sums the latest reports of peers, without peers that left or stopped reporting', () => {
+		// A cached sum that outlived a report would show an idle engine as busy.
 		const clock = FakeTimers.install({toFake: ['performance']});
 		try {
 			const endpoint: LiveEndpoint = {
--- a/packages/router/src/test/placing/limited-fleet.test.ts
+++ b/packages/router/src/test/placing/limited-fleet.test.ts
@@ -6,10 +6,10 @@
 import {createEndpointLimits, type EndpointLimits} from '../../placing.js';
 import {createPlayedNetwork, nameOf} from '../peers/played-network.js';
 
-const plays = [...[6, 1006, 2006, 3006, 4006, 5006].map(seed => ({size: 6, seed})), {size: 70, seed: 70}, {size: 195, seed: 195}];
+const scenarios = [...[6, 1006, 2006, 3006, 4006, 5006].map(seed => ({size: 6, seed})), {size: 70, seed: 70}, {size: 195, seed: 195}];
 const stepMs = 10;
 const answerMs = 40;
-/** Of each daemon. */
+/** Per daemon. */
 const requestsPerSecond = 5;
 const namedAtMs = 1000;
 const restartAtMs = 6000;
@@ -18,7 +18,7 @@
 const raisedAtMs = 12_000;
 const endsAtMs = 18_000;
 const lastsMs = 24_000;
-/** What the users' rule allows, and from when on. */
+/** The service's rule: from `stableMs` after a limit is reported, a window of `windowMs` holds at most 1.5 times the limit and 5 requests. */
 const stableMs = 3000;
 const windowMs = 4000;
 const allowedRatio = 1.5;
@@ -31,7 +31,7 @@
 
 type Daemon = {limits: EndpointLimits; isFrozen: boolean};
 
-describe('limits that endpoints name to a fleet', () => {
+describe('rate limits that endpoints report to a fleet', () => {
 	let clock: FakeTimers.Clock;
 
 	beforeEach(() => {
@@ -51,8 +51,8 @@
 		return now < raisedAtMs ? first : first * 2;
 	};
 
-	/** Arrivals at each endpoint, by time. */
-	const play = async (size: number, seed: number): Promise<number[][]> => {
+	/** Arrival times at each endpoint. */
+	const simulate = async (size: number, seed: number): Promise<number[][]> => {
 		const generator = xoroshiro128plus(seed);
 		const random = () => (generator.next() >>> 0) / (2 ** 32); // eslint-disable-line no-bitwise
 		const arrivals: number[][] = endpoints.map(() => []);
@@ -87,13 +87,13 @@
 		}
 
 		const send = ({limits}: Daemon): void => {
-			const free = [...endpoints.keys()].filter(index => limits.mayTake(endpoints[index]));
+			const free = [...endpoints.keys()].filter(index => limits.canSend(endpoints[index]));
 			const chosen = free[Math.floor(random() * free.length)];
 			limits.take(endpoints[chosen]);
 			arrivals[chosen].push(performance.now());
-			const said = limitAt(chosen, performance.now());
+			const reportedLimit = limitAt(chosen, performance.now());
 			setTimeout(() => {
-				limits.named(endpoints[chosen], said);
+				limits.named(endpoints[chosen], reportedLimit);
 			}, answerMs);
 		};
 
@@ -114,7 +114,7 @@
 		return arrivals;
 	};
 
-	/** Most arrivals in a window from a moment on, as a share of what is allowed there. */
+	/** Largest number of arrivals in a window, relative to the allowed number. */
 	const worstShare = (arrivals: readonly number[], limit: number, [fromMs, toMs]: readonly [number, number]): number => {
 		const allowed = (allowedRatio * limit * windowMs / 1000) + allowedExtra;
 		let worst = 0;
@@ -128,9 +128,9 @@
 	const rateIn = (arrivals: readonly number[], fromMs: number, toMs: number): number =>
 		arrivals.filter(at => at >= fromMs && at < toMs).length * 1000 / (toMs - fromMs);
 
-	for (const {size, seed} of plays) {
-		it(`hold for ${size} daemons together, with one that starts and one that was frozen, are used, and end (seed ${seed})`, async () => {
-			const arrivals = await play(size, seed);
+	for (const {size, seed} of scenarios) {
+		it(`are kept and used by ${size} daemons together, one restarted and one frozen, and end (seed ${seed})`, async () => {
+			const arrivals = await simulate(size, seed);
 			let used = 0;
 			let usable = 0;
 			for (const [index, limit] of firstLimits.slice(0, 3).entries()) {
@@ -139,7 +139,7 @@
 				assert.isAtMost(worstShare(seen, limit! * 2, [raisedAtMs, endsAtMs]), 1, `limit ${limit! * 2}`);
 				used += rateIn(seen, namedAtMs + stableMs, raisedAtMs);
 				usable += limit!;
-				// Without a limit each of four endpoints gets a quarter.
+				// Without a limit each of the four endpoints gets a quarter; half of that is required.
 				assert.isAtLeast(rateIn(seen, endsAtMs + stableMs, lastsMs), size * requestsPerSecond / 8, `use after ${limit}`);
 			}
 
--- a/packages/router/src/test/placing/lone-limits.ts
+++ b/packages/router/src/test/placing/lone-limits.ts
@@ -1,7 +1,7 @@
 import {createSilentLog} from '../../observability.js';
 import {createEndpointLimits, type EndpointLimits} from '../../placing.js';
 
-/** The limits of endpoints for a daemon without peers. */
+/** Creates endpoint limits of a daemon without peers. */
 export const createLoneLimits = (): EndpointLimits => createEndpointLimits({
 	name: 'vm-1', peers: () => [], isListed: () => true, onNews: () => undefined, log: createSilentLog(),
 });
--- a/packages/router/src/test/placing/resident-parts.test.ts
+++ b/packages/router/src/test/placing/resident-parts.test.ts
@@ -8,7 +8,7 @@
 
 const engine = (id: string, weights = 1): EngineWeights => ({id, weights});
 
-/** What cached parts may take of it. */
+/** Tokens of memory available to cached parts. */
 const cachedTokens = memoryTokens * 0.75;
 
 const prompt = (subject: string, more: Partial<PromptNeed> = {}): PromptNeed => ({
@@ -16,7 +16,7 @@
 });
 
 describe('createResidentParts', () => {
-	it('knows the shared parts of a prompt at the engine that got it, under its weights and wall alone', () => {
+	it('tracks the shared parts of a prompt by engine, weights and isolation key', () => {
 		const parts = createResidentParts({memoryTokens: () => memoryTokens});
 		parts.sent(engine('e1'), prompt('s1'));
 		assert.equal(parts.tokens(engine('e1'), prompt('s1')), 6300);
@@ -28,9 +28,10 @@
 		assert.isEmpty([...parts.holders(2, prompt('s1'))]);
 	});
 
-	it('gives a part up once about a memory of tokens has come after it, however long that takes', () => {
-		// Engines evict what was used least lately. A part that is counted on though it
-		// is gone is fetched in vain, and then read behind the caller's back.
+	it('evicts a part once later prompts have filled the memory, regardless of time', () => {
+		// Engines evict the least recently used parts. If an evicted part is believed
+		// cached, engines try to fetch it in vain and then compute tokens that the
+		// estimate left out.
 		const parts = createResidentParts({memoryTokens: () => memoryTokens});
 		parts.sent(engine('e1'), prompt('s1'));
 		for (const subject of ['s2', 's3', 's4']) {
@@ -39,11 +40,11 @@
 		}
 
 		parts.sent(engine('e1'), prompt('s5'));
-		// The top was used by each of them; the subject was not.
+		// Each of them used the top part, but not the subject part.
 		assert.equal(parts.tokens(engine('e1'), prompt('s1')), 2500);
 	});
 
-	it('hears what peers sent, and tells its own once', () => {
+	it('applies the placements of peers, and reports its own once', () => {
 		const [one, two] = [createResidentParts({memoryTokens: () => memoryTokens}), createResidentParts({memoryTokens: () => memoryTokens})];
 		one.sent(engine('e1'), prompt('s1'));
 		const news = one.takeNews();
@@ -53,7 +54,7 @@
 		assert.equal(two.tokens(engine('e1'), prompt('s1')), 6300);
 	});
 
-	it('forgets an engine that is gone', () => {
+	it('removes the parts of an engine that is gone', () => {
 		const parts = createResidentParts({memoryTokens: () => memoryTokens});
 		parts.sent(engine('e1'), prompt('s1'));
 		parts.forget('e1');
@@ -61,13 +62,13 @@
 		assert.isEmpty([...parts.holders(1, prompt('s1'))]);
 	});
 
-	it('counts on no part that an engine which evicts what was used least lately has lost, over generated histories', () => {
-		// Prompts of two daemons in any order, to an engine whose memory holds cached
-		// parts up to its size. Reports are as late as the next prompt.
+	it('never believes more tokens cached than an LRU cache holds, over generated histories', () => {
+		// Prompts of two daemons in any order to one engine, whose memory holds cached parts
+		// up to `cachedTokens`. A report arrives before the next prompt.
 		const subjects = fc.array(fc.tuple(fc.boolean(), fc.integer({min: 0, max: 9})), {minLength: 1, maxLength: 60});
 		fc.assert(fc.property(subjects, history => {
 			const daemons = [createResidentParts({memoryTokens: () => memoryTokens}), createResidentParts({memoryTokens: () => memoryTokens})];
-			/** Parts in the engine's memory, least lately used first, with their tokens. */
+			/** Tokens of the parts in the engine's memory, least recently used first. */
 			const memory = new Map<string, number>();
 			for (const [isSecond, subject] of history) {
 				const need = prompt(`s${subject}`);
--- a/packages/router/src/test/placing/rolling-update.test.ts
+++ b/packages/router/src/test/placing/rolling-update.test.ts
@@ -29,7 +29,7 @@
 const reportMs = 800;
 const stepMs = 5;
 
-const calmAt = 1000;
+const measuredFromMs = 1000;
 const namedAt = 2000;
 const stopAt = 11_000;
 
@@ -63,7 +63,7 @@
 
 type Load = {running: number; waiting: number; slots: number};
 
-/** Holds the shared parts that were read under a version of the weights. */
+/** Holds shared parts, by the weights version that computed them. */
 type Source = {holds: (part: string, version: number) => boolean};
 
 type Engine = Source & {
@@ -74,29 +74,29 @@
 
 type SourceOf = (address: string) => Source | undefined;
 
-/** Reads one prompt after another; holds all shared parts that it has read under its weights. */
+/** Computes one prompt at a time; holds all parts that it has computed under its current weights. */
 function createEngine(): Engine {
 	const queue: Waiting[] = [];
-	const read = new Set<string>();
+	const computed = new Set<string>();
 	let version = 1;
-	let isReading = false;
+	let isComputing = false;
 	let running = 0;
 	let usedTokens = 0;
 
 	const sizeOf = ({prompt}: Sent): number => prompt.promptTokens + prompt.outputTokens;
 
-	/** Milliseconds to fetch shared parts from the named source, and to read the rest. */
-	const readMs = ({prompt, choice}: Sent, sourceOf: SourceOf): number => {
+	/** Milliseconds to fetch shared parts from the chosen source, and to compute the rest. */
+	const computeMs = ({prompt, choice}: Sent, sourceOf: SourceOf): number => {
 		const source = choice.fetchFrom === undefined ? undefined : sourceOf(choice.fetchFrom);
 		let missing = prompt.promptTokens;
 		let fetched = 0;
 		for (const {id, tokens} of prompt.parts) {
-			if (!read.has(id) && source?.holds(id, version) !== true) {
+			if (!computed.has(id) && source?.holds(id, version) !== true) {
 				break;
 			}
 
 			missing -= tokens;
-			fetched += read.has(id) ? 0 : tokens;
+			fetched += computed.has(id) ? 0 : tokens;
 		}
 
 		return (missing / tokensPerMs) + (fetched * tokenBytes / linkBytesPerMs);
@@ -104,19 +104,19 @@
 
 	const startNext = (sourceOf: SourceOf): void => {
 		const next = queue.at(0);
-		if (next === undefined || isReading || running >= slots || usedTokens + sizeOf(next.sent) > memoryTokens) {
+		if (next === undefined || isComputing || running >= slots || usedTokens + sizeOf(next.sent) > memoryTokens) {
 			return;
 		}
 
 		queue.shift();
-		isReading = true;
+		isComputing = true;
 		running++;
 		usedTokens += sizeOf(next.sent);
 		next.sent.version = version;
 		setTimeout(() => {
-			isReading = false;
+			isComputing = false;
 			for (const {id} of next.sent.prompt.parts) {
-				read.add(id);
+				computed.add(id);
 			}
 
 			next.sent.firstAt = performance.now();
@@ -128,11 +128,11 @@
 				startNext(sourceOf);
 			}, next.sent.prompt.outputTokens * msPerOutputToken);
 			startNext(sourceOf);
-		}, transitMs + readMs(next.sent, sourceOf));
+		}, transitMs + computeMs(next.sent, sourceOf));
 	};
 
 	return {
-		holds: (part, of) => of === version && read.has(part),
+		holds: (part, of) => of === version && computed.has(part),
 		isEmpty: () => running === 0 && queue.length === 0,
 		take(waiting, sourceOf) {
 			queue.push(waiting);
@@ -140,7 +140,7 @@
 		},
 		load(to) {
 			version = to;
-			read.clear();
+			computed.clear();
 		},
 	};
 }
@@ -167,10 +167,10 @@
 	reportOf(daemon, {kept: kept.takeNews(), placed: resident.takeNews(), loads: book.report()});
 
 /**
- * Two seconds on version 1, then an update with a third of the engines away at a time.
- * Engines' versions reach all daemons at once, loads and placements with each report.
+ * Simulates two seconds on version 1, then an update with a third of the engines unavailable at
+ * a time. Engines' versions reach all daemons at once, loads and placements with each report.
  */
-async function play(seed: number): Promise<{sent: Sent[]; refused: number; updatedAt: number}> {
+async function simulate(seed: number): Promise<{sent: Sent[]; refused: number; updatedAt: number}> {
 	const clock = FakeTimers.install({toFake: ['performance', 'setTimeout', 'clearTimeout']});
 	try {
 		const random = xoroshiro128plus(seed);
@@ -191,7 +191,7 @@
 		const sent: Sent[] = [];
 		let refused = 0;
 
-		const ask = ({book, choice, versions}: Daemon, prompt: PromptNeed, targetMs: number): void => {
+		const sendPrompt = ({book, choice, versions}: Daemon, prompt: PromptNeed, targetMs: number): void => {
 			const chosen = choice.choose({service: 'engines', excluded: new Set(), prompt});
 			if (chosen === undefined) {
 				refused++;
@@ -224,39 +224,39 @@
 			}, sourceOf);
 		};
 
-		const askAny = (number: number): void => {
+		const sendRandomPrompt = (number: number): void => {
 			const daemon = daemons[uniformInt(random, 0, daemonCount - 1)];
 			const own = {id: `own ${number}`, tokens: 2890};
 			if (uniformFloat64(random) < 2 / 3) {
-				ask(daemon, {
+				sendPrompt(daemon, {
 					model: 'm', parts: [{id: 'top', tokens: 2500}, {id: `s${uniformInt(random, 0, subjectCount - 1)}`, tokens: 3800}, own], promptTokens: 9190, outputTokens: 10, wall: '',
 				}, 815);
 			} else {
-				ask(daemon, {
+				sendPrompt(daemon, {
 					model: 'm', parts: [{...own, tokens: 830}], promptTokens: 830, outputTokens: 58, wall: '',
 				}, 407);
 			}
 		};
 
-		const untouched = [...engines.keys()];
-		const away = new Map<string, number | undefined>();
+		const notUpdated = [...engines.keys()];
+		const updating = new Map<string, number | undefined>();
 		let updatedAt = Number.POSITIVE_INFINITY;
 
 		const update = (): void => {
-			while (away.size < Math.floor(engineCount / 3) && untouched.length > 0) {
-				const id = untouched.shift()!;
-				away.set(id, undefined);
+			while (updating.size < Math.floor(engineCount / 3) && notUpdated.length > 0) {
+				const id = notUpdated.shift()!;
+				updating.set(id, undefined);
 				for (const {versions} of daemons) {
 					versions.changing(id, 2);
 				}
 			}
 
-			for (const [id, readyAt] of away) {
+			for (const [id, readyAt] of updating) {
 				if (readyAt === undefined) {
-					away.set(id, engines.get(id)!.isEmpty() ? performance.now() + loadMs : undefined);
+					updating.set(id, engines.get(id)!.isEmpty() ? performance.now() + loadMs : undefined);
 				} else if (performance.now() >= readyAt) {
 					engines.get(id)!.load(2);
-					away.delete(id);
+					updating.delete(id);
 					for (const {versions, resident} of daemons) {
 						versions.seen(id, 2);
 						resident.forget(id);
@@ -264,7 +264,7 @@
 				}
 			}
 
-			if (untouched.length === 0 && away.size === 0) {
+			if (notUpdated.length === 0 && updating.size === 0) {
 				updatedAt = Math.min(updatedAt, performance.now());
 			}
 		};
@@ -299,7 +299,7 @@
 			}
 
 			while (dueAt <= at) {
-				askAny(sent.length);
+				sendRandomPrompt(sent.length);
 				dueAt -= Math.log(1 - uniformFloat64(random)) * 1000 / promptsPerSecond;
 			}
 
@@ -320,11 +320,12 @@
 const enginesOf = (sent: readonly Sent[]): number => new Set(sent.map(({choice}) => choice.endpoint.id)).size;
 
 describe('a rolling update of the weights', () => {
-	it('answers on time although few engines have the new weights yet', async () => {
-		// Daemons with old news of each other's loads sent most prompts to the same few engines.
+	it('answers on time while few engines have the new weights', async () => {
+		// Guards against daemons that know each other's loads late and therefore send most
+		// prompts to the same few engines.
 		for (const seed of [1, 2, 3, 4]) {
-			const {sent, refused, updatedAt} = await play(seed);
-			const before = sent.filter(({sentAt}) => sentAt >= calmAt && sentAt < namedAt);
+			const {sent, refused, updatedAt} = await simulate(seed);
+			const before = sent.filter(({sentAt}) => sentAt >= measuredFromMs && sentAt < namedAt);
 			const during = sent.filter(({sentAt}) => sentAt >= namedAt && sentAt < updatedAt);
 			const after = sent.filter(({sentAt}) => sentAt >= updatedAt);
 			const phases = Object.entries({before, during, after}).map(([name, some]) => `${name}: ${shareOnTime(some).toFixed(2)} on time, ${enginesOf(some)} engines`);
