--- a/packages/router/src/fleet.ts
+++ b/packages/router/src/fleet.ts
@@ -1,4 +1,4 @@
-/** The fleet as the operator and the platform describe it. */
+/** State of the fleet: the operator's document, endpoints, and the feeds that keep them current. */
 export * from './lib/errors/layer-error.js';
 export type * from './lib/fleet/call-headers.js';
 export * from './lib/fleet/change-feed.js';
--- a/packages/router/src/forwarding.ts
+++ b/packages/router/src/forwarding.ts
@@ -1,4 +1,4 @@
-/** Takes requests from callers and brings them to endpoints. */
+/** Receives requests from callers and forwards them to endpoints. */
 export * from './lib/forwarding/entry-server.js';
 export * from './lib/forwarding/forwarder.js';
 export type * from './lib/forwarding/forwarding-events.js';
--- a/packages/router/src/lib/fleet/call-headers.ts
+++ b/packages/router/src/lib/fleet/call-headers.ts
@@ -1,93 +1,93 @@
 /**
- * What requests and answers say in their headers, as the router uses it. The
- * adapter of the platform reads and writes the headers themselves.
+ * Contents of request and response headers, as the router uses them. The platform's adapter
+ * parses and writes the headers themselves.
  */
 
-/** A part of a prompt that requests may share. */
+/** A part of a prompt that several requests may share. */
 export type PromptPart = {
 	id: string;
 	tokens: number;
 };
 
-/** What a caller's headers say of its request. */
+/** Contents of a caller's request headers. */
 export type CallFacts = {
-	/** Id of this attempt of the caller. */
+	/** Id of this attempt by the caller. */
 	requestId: string | undefined;
-	/** Milliseconds that the caller will wait. */
+	/** Milliseconds until the caller gives up. */
 	remainingMs: number | undefined;
-	/** Digest of the caller's key. */
+	/** SHA-256 of the caller's key, in hexadecimal. */
 	keyDigest: string | undefined;
 	model: string | undefined;
 	promptTokens: number | undefined;
-	/** Most tokens that may be generated. */
+	/** Upper bound of the tokens that may be generated. */
 	outputTokens: number | undefined;
-	/** From the shallowest to the deepest; the last one is the request's own. */
+	/** From the shallowest to the deepest; the last one is specific to the request. */
 	parts: readonly PromptPart[];
-	/** The caller has all events of a stream up to this one. */
+	/** Id of the last event of the stream that the caller has. */
 	resumeAfter: string | undefined;
 };
 
-/** What the router tells an endpoint with a request. */
+/** Contents of the headers that the router adds to a request. */
 export type Dispatch = {
-	/** Process of the endpoint that the decision assumed; any other refuses. */
+	/** Endpoint process that the request is meant for; any other refuses it. */
 	endpointId: string;
-	/** Milliseconds that are left. */
+	/** Milliseconds until the deadline. */
 	remainingMs: number;
-	/** Whose request it is; absent on public routes. */
+	/** Workspace of the caller; absent on public routes. */
 	workspace: string | undefined;
-	/** Weights version that the decision assumed; an engine with another one refuses. */
+	/** Weights version that the endpoint was chosen for; an engine with another one refuses the request. */
 	weights: number | undefined;
-	/** Cached parts are found only under the same text. */
+	/** Cached parts are shared only between requests with the same scope. */
 	cacheScope: string | undefined;
 	/** 0 is the most urgent, 9 the least. */
 	priority: number | undefined;
-	/** All events up to this one are there already. */
+	/** Id of the last event that the caller already has. */
 	resumeAfter: string | undefined;
-	/** IP:PORT from which the engine may fetch cached parts that it lacks. */
+	/** IP:PORT from which the engine may fetch missing cached parts. */
 	fetchFrom: string | undefined;
-	/** IP:PORT of a store to which it sends parts that it has read. */
+	/** IP:PORT of a cache store to which the engine sends parts that it has processed. */
 	saveTo: string | undefined;
 };
 
-/** What an endpoint's headers say of its answer. */
+/** Contents of an endpoint's response headers. */
 export type AnswerFacts = {
-	/** Id of the request that this answers. */
+	/** Id of the request that the response belongs to. */
 	requestId: string | undefined;
-	/** The endpoint vouches for status and body. */
+	/** Status and body are signed by the endpoint. */
 	isSigned: boolean;
-	/** The endpoint did not run the request and never will. */
+	/** The endpoint has not run the request and never will. */
 	provesNotRun: boolean;
-	/** Process of the endpoint that answers, where told. */
+	/** Endpoint process that responded, if stated. */
 	endpointId: string | undefined;
-	/** Weights version that the answer is made with. */
+	/** Weights version that generated the response. */
 	weights: number | undefined;
 	load: EndpointLoadReport | undefined;
-	/** Requests a second that the endpoint takes from all daemons together. */
+	/** Requests per second that the endpoint accepts from all daemons together. */
 	limit: NamedLimit;
-	/** The answer states neither length nor chunks and ends with its connection. */
+	/** The response has neither a length nor chunks and ends with its connection. */
 	isUnframed: boolean;
-	/** The body is not as the endpoint made it. */
+	/** The body has a content encoding, so it is not what the endpoint generated. */
 	isEncoded: boolean;
 };
 
-/** Requests a second; `unreadable` if what is said is no rate. */
+/** Requests per second; `unreadable` if the stated limit is not a valid rate. */
 export type NamedLimit = number | 'none' | 'unreadable';
 
-/** Load that an endpoint tells along with an answer. */
+/** Load that an endpoint reports with a response. */
 export type EndpointLoadReport = {
 	running: number;
 	waiting: number;
 	slots: number;
 };
 
-/** Reads and writes the headers of requests and answers; header lists are flat, names and values in turn. */
+/** Parses and writes request and response headers; header lists are flat, names and values alternate. */
 export type CallHeaders = {
 	readCall: (rawHeaders: readonly string[]) => CallFacts;
-	/** Headers for the endpoint: the caller's, less what concerns one connection or is the router's to set. */
+	/** Headers for the endpoint: the caller's without hop-by-hop headers and those that the router sets. */
 	forEndpoint: (rawHeaders: readonly string[], dispatch: Dispatch) => string[];
 	readAnswer: (rawHeaders: readonly string[], status: number) => AnswerFacts;
-	/** Headers for the caller: the endpoint's, less what concerns one connection. */
+	/** Headers for the caller: the endpoint's without hop-by-hop headers. */
 	forCaller: (rawHeaders: readonly string[]) => string[];
-	/** Headers of an answer of the router's own. */
+	/** Headers of an error response that the router itself generates; `challenges` adds an authentication challenge. */
 	ownAnswer: (facts: {requestId: string | undefined; retryAfterMs: number | undefined; challenges: boolean}) => string[];
 };
--- a/packages/router/src/lib/fleet/change-feed.ts
+++ b/packages/router/src/lib/fleet/change-feed.ts
@@ -1,6 +1,6 @@
 /**
  * Follows a table of the store: one listing, then changes, from the store or from a peer that
- * reads the table and relays its answers.
+ * reads the table and relays the store's responses.
  */
 import {type Log} from '../observability/log.js';
 import {pause} from '../time/pause.js';
@@ -9,19 +9,19 @@
 } from './change-source.js';
 import {createRelayLog, type FeedRelay} from './feed-relay.js';
 
-/** How daemons share the reading of a table; durations in milliseconds. */
+/** How daemons share the polling of a table; durations in milliseconds. */
 export type FeedSharing = {
 	/** Time until this daemon should read the table for its peers; 0 while it does. */
 	readerInMs: () => number;
 	/** Whether this daemon is among the first to read the table; the others back off for longer after failed calls. */
 	isFirstChoice: () => boolean;
-	/** A peer relayed an answer of the store. */
+	/** Called when a peer relayed a response of the store. */
 	relayed: (daemon: string) => void;
-	/** Time after an answer or a relay for which the table counts as current without asking. */
+	/** Time after a response or a relay for which the table counts as current without a poll. */
 	trustMs: number;
 	/** Time that a relay may take longer than a hint of the same change. */
 	relayMs: number;
-	/** Relays an answer of the store to peers. */
+	/** Relays a response of the store to peers. */
 	relay: (relay: FeedRelay) => void;
 };
 
@@ -39,7 +39,7 @@
 	 */
 	answerMs: number;
 	/**
-	 * Pause after an answer with changes and before a hint is followed, to coalesce bursts of
+	 * Pause after a response with changes and before a hint is followed, to coalesce bursts of
 	 * updates into one call.
 	 */
 	restMs: number;
@@ -55,11 +55,11 @@
 	/** Newest change of this table seen so far; 0 before the first listing. */
 	newestChange: () => number;
 	/**
-	 * A peer has seen this change. Unless it arrives within `restMs`, the feed asks the store
+	 * A peer has seen this change. Unless it arrives within `coalesceMs`, the feed polls the store
 	 * without waiting.
 	 */
 	hint: (newestChange: number) => void;
-	/** A peer relays an answer of the store. */
+	/** A peer relays a response of the store. */
 	relayed: (daemon: string, relay: FeedRelay) => void;
 	close: () => void;
 };
@@ -68,68 +68,67 @@
 const minBackoffMs = 50;
 const maxBackoffMs = 400;
 
-/** A gap between two calls, beyond the rest, below which the feed counts as uninterrupted. */
+/** Longest gap between two calls, beyond `coalesceMs`, for which the feed counts as uninterrupted. */
 const maxGapMs = 100;
 
-const readsAlone: FeedSharing = {
+const unshared: FeedSharing = {
 	readerInMs: () => 0,
 	isFirstChoice: () => true,
 	relayed() {
-		// No peer reads for this daemon.
+		// Without sharing, no peer polls for this daemon.
 	},
 	trustMs: 0,
 	relayMs: 0,
 	relay() {
-		// No peer relies on this daemon.
+		// Without sharing, no peer relies on this daemon.
 	},
 };
 
 /** Follows a table until closed. */
 export function followChanges<T>(options: ChangeFeedOptions<T>): ChangeFeed {
 	const {source, handler, log, answerMs} = options;
-	const sharing = options.sharing ?? readsAlone;
+	const sharing = options.sharing ?? unshared;
 	const relayLog = createRelayLog();
 	let version: number | undefined;
 	let newestChange = 0;
-	let answeredAt = Number.NEGATIVE_INFINITY;
+	let respondedAt = Number.NEGATIVE_INFINITY;
 	let failures = 0;
-	/** The latest call was made some time ago, since peers kept the table current. */
-	let hasRested = false;
-	/** The latest answer was relayed. */
+	/** Polls were skipped since the latest call, because relays kept the table current. */
+	let hasSkippedPolls = false;
+	/** The latest response was relayed to peers. */
 	let isReader = false;
-	/** A relay that arrived before the one it follows. */
+	/** A relay that arrived before its predecessor. */
 	let earlyRelay: FeedRelay | undefined;
-	/** No relay arrived in time, and none has since. */
+	/** A relay is overdue. */
 	let areRelaysMissing = false;
 	const closing = new AbortController();
 	let isHinted = false;
-	/** Hints are ignored until then. */
-	let hintsFrom = Number.NEGATIVE_INFINITY;
-	let hasNews = false;
+	let ignoreHintsUntil = Number.NEGATIVE_INFINITY;
+	let hasChanges = false;
 
-	const answered = (): void => {
+	const recordResponse = (): void => {
 		if (failures > 0) {
-			const awayMs = performance.now() - answeredAt;
-			log.info('Store answers again.', {path: options.name, ms: Math.round(awayMs), count: failures});
-			handler.regained?.(awayMs, 0);
-			relayLog.regained(awayMs);
+			const outageMs = performance.now() - respondedAt;
+			log.info('Store responds again.', {path: options.name, ms: Math.round(outageMs), count: failures});
+			handler.recovered?.(outageMs, 0);
+			relayLog.recovered(outageMs);
 			failures = 0;
 		}
 
-		answeredAt = performance.now();
+		respondedAt = performance.now();
 	};
 
-	const note = (rows: ReadonlyArray<Change<T>>): void => {
+	const trackNewest = (rows: ReadonlyArray<Change<T>>): void => {
 		for (const row of rows) {
 			newestChange = Math.max(newestChange, row.version);
 		}
 	};
 
-	const relayNews = (): void => {
+	const relayChanges = (): void => {
 		const isElected = sharing.readerInMs() === 0;
 		if (isElected !== isReader) {
 			isReader = isElected;
-			log.info(isReader ? 'Daemon reads a table for its peers.' : 'Daemon leaves a table to its peers.', {path: options.name});
+			log.info(isReader ? 'Daemon now polls a table for its peers.' : 'Daemon no longer polls a table for its peers.', {path: options.name});
 		}
 
 		if (isReader) {
@@ -139,170 +138,170 @@
 
 	const list = async (): Promise<void> => {
 		const all = await source.list(answerMs * 2);
-		const unseenMs = performance.now() - answeredAt;
-		answered();
+		const unseenMs = performance.now() - respondedAt;
+		recordResponse();
 		// A stale listing must not revert newer state.
 		if (version === undefined || all.version >= version) {
 			version = all.version;
-			note(all.changes);
+			trackNewest(all.changes);
 			relayLog.listed(all);
 			handler.replace(all.changes, unseenMs);
-			relayNews();
+			relayChanges();
 		}
 	};
 
-	/** Applies changes up to `news.version`; returns false if they are outdated. */
-	const accept = (news: Changes<T>, unseenMs: number): boolean => {
-		if (version === undefined || news.version < version) {
+	/** Applies changes up to `update.version`; returns false if they are outdated. */
+	const accept = (update: Changes<T>, unseenMs: number): boolean => {
+		if (version === undefined || update.version < version) {
 			return false;
 		}
 
-		relayLog.changed(news, unseenMs === 0);
-		version = news.version;
-		if (news.changes.length > 0) {
-			note(news.changes);
-			handler.update(news.changes, unseenMs);
+		relayLog.changed(update, unseenMs === 0);
+		version = update.version;
+		if (update.changes.length > 0) {
+			trackNewest(update.changes);
+			handler.update(update.changes, unseenMs);
 		}
 
 		return true;
 	};
 
-	const apply = (news: Changes<T>, isPrompt: boolean): void => {
-		const unseenMs = isPrompt && failures === 0 ? 0 : performance.now() - answeredAt;
-		answered();
-		if (accept(news, unseenMs)) {
-			hasNews ||= news.changes.length > 0;
-			relayNews();
+	const apply = (update: Changes<T>, isPrompt: boolean): void => {
+		const unseenMs = isPrompt && failures === 0 ? 0 : performance.now() - respondedAt;
+		recordResponse();
+		if (accept(update, unseenMs)) {
+			hasChanges ||= update.changes.length > 0;
+			relayChanges();
 		}
 	};
 
-	const ask = async (): Promise<void> => {
+	const poll = async (): Promise<void> => {
 		if (version === undefined) {
 			await list();
 			return;
 		}
 
-		// After a failure or a rest the feed may be behind, and peers may wait for a new reader.
-		const wait = failures > 0 || isHinted || hasRested ? 0 : options.waitMs();
+		// After a failure or skipped polls the feed may be behind, and peers may wait for a new reader.
+		const wait = failures > 0 || isHinted || hasSkippedPolls ? 0 : options.waitMs();
 		isHinted = false;
-		hasRested = false;
-		const isPrompt = performance.now() - answeredAt <= options.restMs + maxGapMs;
+		hasSkippedPolls = false;
+		const isPrompt = performance.now() - respondedAt <= options.restMs + maxGapMs;
 		apply(await source.changes(version, wait, wait + answerMs), isPrompt);
 	};
 
 	const failed = async (error: unknown): Promise<void> => {
 		if (error instanceof HistoryGoneError) {
-			log.warn('History of the store is gone, the table is listed anew.', {path: options.name});
+			log.warn('Store has dropped the requested history; the table is listed again.', {path: options.name});
 			try {
 				await list();
 				return;
 			} catch (listError) {
-				log.warn('Table could not be listed.', {path: options.name, err: listError});
+				log.warn('Store did not list the table.', {path: options.name, err: listError});
 			}
 		}
 
 		failures++;
 		if (failures === 1) {
-			log.warn('Store gave no answer.', {path: options.name, ms: roundedAgeMs(answeredAt), err: error});
+			log.warn('Store did not respond.', {path: options.name, ms: roundedAgeMs(respondedAt), err: error});
 		}
 
 		await pause(Math.min(sharing.isFirstChoice() ? maxBackoffMs : sharing.trustMs, minBackoffMs * (2 ** Math.min(failures - 1, 8))));
 	};
 
-	/** Logs the first of several times at which no relay arrived. */
-	const noteMissingRelays = (): void => {
+	/** Logs only the first of several consecutive overdue relays. */
+	const logMissingRelays = (): void => {
 		if (!areRelaysMissing) {
 			areRelaysMissing = true;
-			log.info('No peer relays a table; the store is asked.', {path: options.name, ms: roundedAgeMs(answeredAt)});
+			log.info('No peer relays a table; the store is polled.', {path: options.name, ms: roundedAgeMs(respondedAt)});
 		}
 	};
 
-	/** Waits while peers' relays keep the table current. */
-	const untilDue = async (): Promise<void> => {
+	/** Waits while relays keep the table current. */
+	const waitUntilDue = async (): Promise<void> => {
 		while (!closing.signal.aborted) {
 			if (version === undefined) {
 				return;
 			}
 
 			const readerInMs = sharing.readerInMs();
-			const leftMs = Math.min(readerInMs, answeredAt + sharing.trustMs - performance.now());
+			const leftMs = Math.min(readerInMs, respondedAt + sharing.trustMs - performance.now());
 			if (leftMs <= 0) {
 				if (readerInMs > 0) {
-					noteMissingRelays();
+					logMissingRelays();
 				}
 
 				return;
 			}
 
-			hasRested = true;
+			hasSkippedPolls = true;
 			await pause(Math.ceil(leftMs));
 		}
 	};
 
 	const run = async (): Promise<void> => {
 		while (!closing.signal.aborted) {
-			hasNews = false;
-			await untilDue();
+			hasChanges = false;
+			await waitUntilDue();
 			try {
-				await ask();
+				await poll();
 			} catch (error) {
 				await failed(error);
 			}
 
-			if (hasNews && options.restMs > 0) {
+			if (hasChanges && options.restMs > 0) {
 				await pause(options.restMs);
 			}
 		}
 	};
 
-	const askAfter = async (restMs: number, isNeeded: () => boolean): Promise<void> => {
+	const pollAfter = async (delayMs: number, isNeeded: () => boolean): Promise<void> => {
 		isHinted = true;
 		try {
-			await pause(restMs);
+			await pause(delayMs);
 			if (isNeeded()) {
 				apply(await source.changes(version!, 0, answerMs), false);
 			}
 		} catch (error) {
-			hintsFrom = performance.now() + maxBackoffMs;
-			log.debug('Store gave no answer to a further question.', {path: options.name, err: error});
+			ignoreHintsUntil = performance.now() + maxBackoffMs;
+			log.debug('Store did not respond to an additional poll.', {path: options.name, err: error});
 		} finally {
 			isHinted = false;
 		}
 	};
 
-	/** Asks the store without waiting after `restMs`, if that is still needed then. */
-	const askSoon = (restMs: number, isNeeded: () => boolean): void => {
-		// After a failure the feed asks again by itself, with backoff.
-		const isBackingOff = failures > 0 || performance.now() < hintsFrom;
+	/** Polls the store without waiting after `delayMs`, if that is still needed then. */
+	const schedulePoll = (delayMs: number, isNeeded: () => boolean): void => {
+		// After a failure the feed polls again anyway, with backoff.
+		const isBackingOff = failures > 0 || performance.now() < ignoreHintsUntil;
 		if (version !== undefined && !isHinted && !isBackingOff && isNeeded()) {
-			void askAfter(restMs, isNeeded);
+			void pollAfter(delayMs, isNeeded);
 		}
 	};
 
-	/** Applies a relay, or keeps it for a moment if the one before it is missing. */
+	/** Applies a relay, or holds it until its predecessor has arrived. */
 	const acceptRelay = (relay: FeedRelay): void => {
 		const {since, version: upTo, rows, isPrompt} = relay;
 		if (version! < since) {
 			earlyRelay = relay;
-			askSoon(sharing.relayMs, () => version! < since);
+			schedulePoll(sharing.relayMs, () => version! < since);
 			return;
 		}
 
-		const unseenMs = isPrompt ? 0 : performance.now() - answeredAt;
+		const unseenMs = isPrompt ? 0 : performance.now() - respondedAt;
 		// Each reader of a table relays the same rows.
-		const news = rows.filter(([, changedIn]) => changedIn > version!);
-		if (accept({version: upTo, changes: news.map(row => source.decode(row))}, unseenMs)) {
-			answeredAt = performance.now();
+		const newRows = rows.filter(([, changedIn]) => changedIn > version!);
+		if (accept({version: upTo, changes: newRows.map(row => source.decode(row))}, unseenMs)) {
+			respondedAt = performance.now();
 			areRelaysMissing = false;
 		}
 	};
 
 	void run();
 	return {
-		ageMs: () => performance.now() - answeredAt,
+		ageMs: () => performance.now() - respondedAt,
 		newestChange: () => newestChange,
 		hint(known) {
-			askSoon(options.restMs + sharing.relayMs, () => known > Math.max(version!, newestChange));
+			schedulePoll(options.restMs + sharing.relayMs, () => known > Math.max(version!, newestChange));
 		},
 		relayed(daemon, relay) {
 			sharing.relayed(daemon);
@@ -311,7 +310,7 @@
 			}
 
 			if (relay.outage !== null) {
-				handler.regained?.(...relay.outage);
+				handler.recovered?.(...relay.outage);
 			}
 
 			acceptRelay(relay);
--- a/packages/router/src/lib/fleet/change-source.ts
+++ b/packages/router/src/lib/fleet/change-source.ts
@@ -45,6 +45,6 @@
 	replace: (rows: ReadonlyArray<Change<T>>, unseenMs: number) => void;
 	/** Changed rows, at most `unseenMs` old; 0 while the feed is current. */
 	update: (rows: ReadonlyArray<Change<T>>, unseenMs: number) => void;
-	/** The store answered `sinceMs` ago after an outage of `awayMs`; may be told again of the same outage. */
-	regained?: (awayMs: number, sinceMs: number) => void;
+	/** The store responded `sinceMs` ago after an outage of `outageMs`; may be called again for the same outage. */
+	recovered?: (outageMs: number, sinceMs: number) => void;
 };
--- a/packages/router/src/lib/fleet/endpoint-presence.ts
+++ b/packages/router/src/lib/fleet/endpoint-presence.ts
@@ -1,17 +1,17 @@
 /**
  * Evidence from responses and failed connections about endpoints that are still listed.
- * Unlike outlier ejection it has no maximum ratio: an ended process serves nobody.
+ * Unlike outlier ejection it has no maximum ratio, since an ended process can't serve any request.
  */
 import {type Log} from '../observability/log.js';
 import {type LiveEndpoint} from './live-endpoint.js';
 
 /** Evidence beyond the endpoint list. */
 export type EndpointPresence = {
-	/** Another process answered at the endpoint's address, so the endpoint's own has ended. */
+	/** Another process responded at the endpoint's address, so the endpoint's process has ended. */
 	replaced: (endpoint: LiveEndpoint) => void;
 	/** The connection failed. */
 	unreached: (endpoint: LiveEndpoint) => void;
-	/** The endpoint refused to take work now. */
+	/** The endpoint temporarily refused requests. */
 	declined: (endpoint: LiveEndpoint) => void;
 	/** The endpoint served a request. */
 	accepted: (endpoint: LiveEndpoint) => void;
@@ -21,16 +21,16 @@
 	isDoubtful: (endpoint: LiveEndpoint) => boolean;
 	/** The endpoint is no longer listed. */
 	forget: (id: string) => void;
-	/** Endpoints that this daemon found to have ended within the last `mostMs`. */
-	endedLately: (mostMs: number) => Array<[id: string, startedAt: number]>;
+	/** Endpoints that this daemon found to have ended within the last `maxAgeMs`. */
+	endedLately: (maxAgeMs: number) => Array<[id: string, startedAt: number]>;
 };
 
-/** Time for which an endpoint is tried last after a failure; doubles with each further one. */
+/** Time in milliseconds for which an endpoint is tried last after a failure; doubles with each further one. */
 const doubtMs = 200;
 
 const maxDoubtMs = 800;
 
-type Doubt = {startedAt: number; until: number; lastsMs: number};
+type Doubt = {startedAt: number; until: number; durationMs: number};
 
 /** Creates the record; all listed endpoints are presumed present. */
 export function createEndpointPresence(log: Log): EndpointPresence {
@@ -44,8 +44,8 @@
 			return;
 		}
 
-		const lastsMs = known?.startedAt === startedAt ? Math.min(maxDoubtMs, known.lastsMs * 2) : doubtMs;
-		doubts.set(id, {startedAt, until: now + lastsMs, lastsMs});
+		const durationMs = known?.startedAt === startedAt ? Math.min(maxDoubtMs, known.durationMs * 2) : doubtMs;
+		doubts.set(id, {startedAt, until: now + durationMs, durationMs});
 	};
 
 	return {
@@ -55,7 +55,7 @@
 			}
 
 			ended.set(id, {startedAt, foundAt: performance.now()});
-			log.info('Endpoint has ended: another process answers at its address.', {endpoint: id, service});
+			log.info('Endpoint has ended: another process responds at its address.', {endpoint: id, service});
 		},
 		unreached: doubt,
 		declined: doubt,
@@ -71,10 +71,10 @@
 			ended.delete(id);
 			doubts.delete(id);
 		},
-		endedLately(mostMs) {
+		endedLately(maxAgeMs) {
 			const recent: Array<[string, number]> = [];
 			for (const [id, {startedAt, foundAt}] of ended) {
-				if (performance.now() - foundAt <= mostMs) {
+				if (performance.now() - foundAt <= maxAgeMs) {
 					recent.push([id, startedAt]);
 				}
 			}
--- a/packages/router/src/lib/fleet/endpoint-tracker.ts
+++ b/packages/router/src/lib/fleet/endpoint-tracker.ts
@@ -22,18 +22,18 @@
 const minOutageMs = 1000;
 
 /** Creates a tracker that writes into a view. */
-export function createEndpointTracker({view, graceMs, outageEchoMs}: EndpointTrackerOptions): EndpointTracker {
+export function createEndpointTracker({view, graceMs, outageEchoMs: graceWindowMs}: EndpointTrackerOptions): EndpointTracker {
 	const missing = new Map<string, NodeJS.Timeout>();
 	let graceUntil = Number.NEGATIVE_INFINITY;
 
-	const keep = (id: string): void => {
+	const cancelDrop = (id: string): void => {
 		clearTimeout(missing.get(id));
 		missing.delete(id);
 	};
 
 	const drop = (id: string): void => {
 		if (performance.now() >= graceUntil) {
-			keep(id);
+			cancelDrop(id);
 			view.dropEndpoint(id);
 			return;
 		}
@@ -51,7 +51,7 @@
 			if (item === undefined) {
 				drop(key);
 			} else {
-				keep(key);
+				cancelDrop(key);
 				view.acceptEndpoint(item);
 			}
 		}
@@ -68,9 +68,9 @@
 				}
 			}
 		},
-		regained(awayMs, sinceMs) {
-			if (awayMs >= minOutageMs) {
-				graceUntil = Math.max(graceUntil, performance.now() - sinceMs + outageEchoMs);
+		recovered(outageMs, sinceMs) {
+			if (outageMs >= minOutageMs) {
+				graceUntil = Math.max(graceUntil, performance.now() - sinceMs + graceWindowMs);
 			}
 		},
 		close() {
--- a/packages/router/src/lib/fleet/feed-relay.ts
+++ b/packages/router/src/lib/fleet/feed-relay.ts
@@ -1,4 +1,4 @@
-/** Relays of a table's changes, by which one daemon reads the store for its peers. */
+/** Relays of a table's changes, through which one daemon polls the store for its peers. */
 import {z} from 'zod';
 
 /** A relayed row: key, store version that wrote it, content or null if it was deleted. */
@@ -11,7 +11,7 @@
 	/** Store version up to which they are complete. */
 	version: z.number(),
 	rows: z.array(relayedRowSchema),
-	/** The reader saw each of the changes at once. */
+	/** The reader saw each of the changes without delay. */
 	isPrompt: z.boolean(),
 	/** Latest outage that the reader saw: its length, and milliseconds since its end. */
 	outage: z.tuple([z.number(), z.number()]).nullable(),
@@ -28,24 +28,24 @@
 export type RelayLog = {
 	/** All rows of the table; those that are missing were deleted. */
 	listed: (rows: Rows) => void;
-	/** Rows that have changed up to a version; `isPrompt` if this daemon saw them at once. */
+	/** Rows that have changed up to a version; `isPrompt` if this daemon saw them without delay. */
 	changed: (rows: Rows, isPrompt: boolean) => void;
-	/** The store answers again after an outage. */
-	regained: (awayMs: number) => void;
+	/** The store responds again after an outage. */
+	recovered: (outageMs: number) => void;
 	/** Returns and clears the changes since the last call. */
 	take: () => FeedRelay;
 };
 
-/** Rows kept for the next relay. */
+/** Maximum number of rows stored for the next relay. */
 const maxPendingRows = 256;
 
-/** Upper bound of the length that a relay gives for an outage, in milliseconds. */
+/** Upper bound of the outage length that a relay states, in milliseconds. */
 const maxOutageMs = 3_600_000;
 
-/** Content of one relay, in characters, so that it fits into a datagram. Peers ask the store for the rest. */
+/** Maximum content of one relay, in characters, so that it fits into a datagram. Peers poll the store for the rest. */
 const maxRelayChars = 16 * 1024;
 
-/** Time for which an outage is told. */
+/** Time in milliseconds for which relays report an outage. */
 const outageTtlMs = 10_000;
 
 /** Creates an empty log. */
@@ -54,7 +54,7 @@
 	let pending = new Map<string, PendingRow>();
 	let since = 0;
 	let version = 0;
-	let outage: {awayMs: number; endedAt: number} | undefined;
+	let outage: {durationMs: number; endedAt: number} | undefined;
 
 	const dropOldest = (): void => {
 		const [oldest] = pending.values();
@@ -108,8 +108,8 @@
 
 			version = rows.version;
 		},
-		regained(awayMs) {
-			outage = {awayMs: Math.min(awayMs, maxOutageMs), endedAt: performance.now()};
+		recovered(outageMs) {
+			outage = {durationMs: Math.min(outageMs, maxOutageMs), endedAt: performance.now()};
 		},
 		take() {
 			const rows: RelayedRow[] = [];
@@ -128,7 +128,7 @@
 
 			const outageMs = outage === undefined ? Number.POSITIVE_INFINITY : performance.now() - outage.endedAt;
 			const relay: FeedRelay = {
-				since, version, rows, isPrompt, outage: outageMs <= outageTtlMs ? [Math.round(outage!.awayMs), Math.round(outageMs)] : null,
+				since, version, rows, isPrompt, outage: outageMs <= outageTtlMs ? [Math.round(outage!.durationMs), Math.round(outageMs)] : null,
 			};
 			pending = new Map();
 			since = version;
--- a/packages/router/src/lib/fleet/fleet-document.ts
+++ b/packages/router/src/lib/fleet/fleet-document.ts
@@ -1,116 +1,115 @@
 /**
- * The operator's document as the router uses it: routes, services, workspaces
- * and limits on callers. Adapters decode their platform's format into these
- * types; nothing here knows how it was written.
+ * The operator's document as the router uses it: routes, services, workspaces and limits on
+ * callers. Adapters decode their platform's format into these types, which don't depend on it.
  */
 
 /**
- * What may be repeated of a request.
+ * Whether a request may run more than once.
  *
  * - `idempotent`: may run more than once.
- * - `once`: may run once at most.
- * - `stream`: an answer in events; may run once at most unless it can be resumed.
+ * - `once`: may run at most once.
+ * - `stream`: has a response of events; may run at most once unless it can be resumed.
  */
 export type RequestKind = 'idempotent' | 'once' | 'stream';
 
-/** A part of a route's traffic that one service takes. */
+/** Part of a route's traffic that one service receives. */
 export type RouteTarget = {
 	service: string;
-	/** Share of the route's requests, against the sum over all its targets. */
+	/** Share of the route's requests, relative to the sum over all its targets. */
 	weight: number;
 };
 
-/** Where requests of one host and path go. */
+/** Handling of the requests for one host and path prefix. */
 export type Route = {
 	name: string;
 	host: string;
-	/** Begins and ends with a slash; the longest one that begins the path wins. */
+	/** Begins and ends with a slash; the longest matching prefix of the path wins. */
 	prefix: string;
 	kind: RequestKind;
 	targets: readonly RouteTarget[];
-	/** Longest time in milliseconds that the operator wants a request kept waiting. */
+	/** Timeout of a request in milliseconds. */
 	timeoutMs: number;
-	/** Time in milliseconds within which an answer (a stream's first event) is on time. */
+	/** Target time to the response (for streams, to the first event) in milliseconds. */
 	targetMs: number;
-	/** Longest pause in milliseconds between two events of an answer on time; for streams. */
+	/** Target maximum pause between two events of a stream, in milliseconds. */
 	targetPauseMs: number | undefined;
-	/** Most endpoints that one request may be sent to. */
+	/** Maximum number of endpoints that one request may be sent to. */
 	mostEndpoints: number;
-	/** 0 is the most urgent. */
+	/** Priority; 0 is the most urgent. */
 	rank: number;
-	/** No key is asked for. */
+	/** Requests need no key. */
 	isPublic: boolean;
-	/** A broken stream may go on at another endpoint behind the last event that arrived. */
+	/** A broken stream may be resumed on another endpoint after the last event that arrived. */
 	isResumable: boolean;
-	/** Requests name the parts of their prompt, which engines cache. */
+	/** Requests list the parts of their prompt, which engines cache. */
 	hasPromptParts: boolean;
 };
 
-/** What the engines of a service are made of. */
+/** Capacity and models of a service's engines. */
 export type EngineTraits = {
-	/** Requests that one engine runs at the same time. */
+	/** Requests that one engine runs concurrently. */
 	slots: number;
-	/** Tokens that one engine's memory holds, running requests and cached parts together. */
+	/** Tokens that fit into one engine's memory, for running requests and cached parts together. */
 	memoryTokens: number;
-	/** What one cached token takes on a link, in bytes; 0 where the operator doesn't say. */
+	/** Size of one cached token in transfer, in bytes; 0 if the operator doesn't state it. */
 	tokenBytes: number;
-	/** Bytes that an engine's own link carries in a millisecond. */
+	/** Bandwidth of one engine's link, in bytes per millisecond. */
 	linkBytesPerMs: number;
 	/** Models that the engines run. */
 	models: readonly string[];
 };
 
-/** Endpoints that do the same work. */
+/** A group of interchangeable endpoints. */
 export type Service = {
 	name: string;
-	/** Most connections that one endpoint takes from all callers together. */
+	/** Maximum number of connections that one endpoint accepts from all callers together. */
 	mostConnections: number;
-	/** Set for a service of model engines. */
+	/** Set if the endpoints are model engines. */
 	engine: EngineTraits | undefined;
 };
 
-/** A store that keeps prompt parts for engines. */
+/** A store of cached prompt parts for engines. */
 export type CacheStore = {
 	name: string;
 	/** IP:PORT. */
 	address: string;
 	dataCentre: string;
-	/** Bytes that its link carries in a millisecond, for all engines together. */
+	/** Bandwidth of its link for all engines together, in bytes per millisecond. */
 	linkBytesPerMs: number;
 };
 
 /** A tenant of the fleet. */
 export type Workspace = {
 	name: string;
-	/** SHA-256 of each key, in hexadecimal; the keys themselves are kept nowhere. */
+	/** SHA-256 of each key, in hexadecimal; the keys themselves are not stored. */
 	keyDigests: readonly string[];
-	/** Goes before the route's rank where set. */
+	/** Overrides the route's rank if set. */
 	rank: number | undefined;
-	/** Shares no cached prompt part with any other workspace. */
+	/** Cached prompt parts are not shared with other workspaces. */
 	isIsolated: boolean;
-	/** Units a second over all VMs; 0 is no limit. */
+	/** Units per second over all VMs; 0 means no limit. */
 	rate: number;
-	/** Units above the rate that may come at once. */
+	/** Units that may exceed the rate in a burst. */
 	burst: number;
-	/** Whether units are tokens; else requests. */
+	/** Whether units are tokens rather than requests. */
 	countsTokens: boolean;
-	/** Units that a request without stated tokens counts as. */
+	/** Units charged for a request that states no token count. */
 	plainUnits: number;
 };
 
-/** Bounds on what a caller may send. */
+/** Limits on callers' requests and connections. */
 export type CallerLimits = {
 	headerBytes: number;
 	bodyBytes: number;
-	/** Milliseconds for a request's header to arrive. */
+	/** Timeout for a request's header, in milliseconds. */
 	headerMs: number;
-	/** Milliseconds for which a connection may stay idle. */
+	/** Idle timeout of a connection, in milliseconds. */
 	idleMs: number;
 };
 
 /** One version of the operator's document. */
 export type FleetDocument = {
-	/** Grows with each change, in uneven steps. */
+	/** Increases with each change, in uneven steps. */
 	version: number;
 	routes: readonly Route[];
 	services: ReadonlyMap<string, Service>;
--- a/packages/router/src/lib/fleet/fleet-view.ts
+++ b/packages/router/src/lib/fleet/fleet-view.ts
@@ -15,7 +15,7 @@
 	workspaceOfKey: ReadonlyMap<string, Workspace>;
 };
 
-/** Weights that the operator named for a model. */
+/** Weights versions that the operator named for a model. */
 export type NamedWeights = {
 	/** The newest version. */
 	version: number;
@@ -45,21 +45,21 @@
 	dropEndpoint: (id: string) => void;
 	endpointIds: () => Iterable<string>;
 	namedWeights: (model: string) => NamedWeights | undefined;
-	/** Weights were named at most `unseenMs` ago; 0 when this process saw it at once. */
+	/** Weights were named at most `unseenMs` ago; 0 if this process saw the naming without delay. */
 	acceptWeights: (model: string, version: number, unseenMs: number) => void;
-	/** A peer that saw the naming at once reports its age. */
+	/** A peer that saw the naming without delay reports its age. */
 	datedWeights: (model: string, version: number, ageMs: number) => void;
-	/** Namings of the last `mostMs` whose age is exact. */
-	recentWeights: (mostMs: number) => Array<[model: string, version: number, ageMs: number]>;
-	/** Takes over a naming from a complete record of namings up to some time. */
+	/** Namings of the last `maxAgeMs` whose age is exact. */
+	recentWeights: (maxAgeMs: number) => Array<[model: string, version: number, ageMs: number]>;
+	/** Restores a naming from a complete record of namings up to some time. */
 	restoreWeights: (model: string, naming: RestoredNaming) => void;
-	/** Lowers the possible age of a naming whose time is not known, and of those before it that were not heard. */
+	/** Lowers the maximum age of a naming whose time is not known, and of missed namings before it. */
 	boundWeights: (model: string, version: number, atMostMs: number) => void;
-	/** All remembered namings; the age is the largest possible one of the version and any unheard before it, infinite if unknown. */
+	/** All stored namings; the age is the largest possible one of the version and any missed before it, infinite if unknown. */
 	namings: () => Array<{model: string} & RestoredNaming>;
 	/** Called for every added, changed or removed endpoint. */
 	onEndpoint: (listener: EndpointListener) => void;
-	/** Called for every document that comes into force. */
+	/** Called for every accepted document. */
 	onDocument: (listener: (accepted: AcceptedDocument) => void) => void;
 };
 
@@ -71,17 +71,17 @@
 	version: number;
 	learntAt: number;
 	isDated: boolean;
-	/** Earliest time at which a version between the previous naming and this one may have been named unheard. */
+	/** Earliest time at which a missed naming between the previous one and this one may have happened. */
 	gapAt: number;
 };
 
-/** Namings remembered for each model. */
+/** Namings stored per model. */
 const maxNamings = 16;
 
 /** Creates an empty view. */
 export function createFleetView(log: Log): FleetView {
 	const endpoints = new Map<string, LiveEndpoint>();
-	/** Filled when read; a change removes the service's list. */
+	/** Cached lists; a change removes the service's list. */
 	const byService = new Map<string, readonly LiveEndpoint[]>();
 	const named = new Map<string, Naming[]>();
 	const endpointListeners: EndpointListener[] = [];
@@ -118,7 +118,7 @@
 			}
 
 			accepted = {document, routes: createRouteTable(document.routes), workspaceOfKey: indexKeys(document)};
-			log.info('Document in force.', {version: document.version, count: document.routes.length});
+			log.info('Document accepted.', {version: document.version, count: document.routes.length});
 			for (const listener of documentListeners) {
 				listener(accepted);
 			}
@@ -152,7 +152,7 @@
 
 			endpoints.delete(id);
 			byService.delete(known.service);
-			log.info('Endpoint is gone.', {endpoint: id, service: known.service});
+			log.info('Endpoint is no longer listed.', {endpoint: id, service: known.service});
 			notify(id, undefined, known);
 		},
 		endpointIds: () => endpoints.keys(),
@@ -182,7 +182,7 @@
 				version, learntAt, isDated: unseenMs === 0, gapAt: learntAt,
 			};
 			named.set(model, [...history, naming].slice(-maxNamings));
-			log.info('New weights were named.', {version});
+			log.info('New weights version was named.', {version});
 		},
 		datedWeights(model, version, ageMs) {
 			const history = named.get(model) ?? [];
@@ -203,12 +203,12 @@
 			naming.learntAt = naming.isDated ? Math.min(naming.learntAt, learntAt) : learntAt;
 			naming.isDated = true;
 		},
-		recentWeights(mostMs) {
+		recentWeights(maxAgeMs) {
 			const recent: Array<[string, number, number]> = [];
 			for (const [model, history] of named) {
 				for (const {version, learntAt, isDated} of history) {
 					const ageMs = performance.now() - learntAt;
-					if (isDated && ageMs <= mostMs) {
+					if (isDated && ageMs <= maxAgeMs) {
 						recent.push([model, version, Math.round(ageMs)]);
 					}
 				}
--- a/packages/router/src/lib/fleet/live-endpoint.ts
+++ b/packages/router/src/lib/fleet/live-endpoint.ts
@@ -1,28 +1,28 @@
-/** What the platform's list says of one running endpoint. */
+/** A running endpoint as the platform lists it. */
 
 /** One process of an endpoint. */
 export type LiveEndpoint = {
-	/** Name of this process; mostly another one after a restart. */
+	/** Identifies this process; usually changes at a restart. */
 	id: string;
 	service: string;
-	/** IP:PORT. Used again by other endpoints once this one is gone. */
+	/** IP:PORT; may be reused by another endpoint after this one has ended. */
 	address: string;
 	dataCentre: string;
-	/** Requests that it runs at the same time. */
+	/** Requests that it runs concurrently. */
 	slots: number;
-	/** Takes no new work: it stops soon. */
+	/** It is shutting down and accepts no new requests. */
 	isLeaving: boolean;
-	/** Unix milliseconds of its start; tells two processes under one id apart. */
+	/** Start time in Unix milliseconds; distinguishes two processes with the same id. */
 	startedAt: number;
-	/** Number of the report that this comes from; starts anew with the process. */
+	/** Sequence number of the report that this state comes from; restarts with the process. */
 	reportNumber: number;
-	/** Weights versions of the models that it runs, by model. */
+	/** Weights version by model. */
 	weights: ReadonlyMap<string, number>;
 };
 
-/** Whether `news` was said after `known` was, by the same process or a later one. */
-export function isNewer(news: LiveEndpoint, known: LiveEndpoint): boolean {
-	return news.startedAt === known.startedAt
-		? news.reportNumber >= known.reportNumber
-		: news.startedAt > known.startedAt;
+/** Whether `update` is at least as recent a report as `known`, from the same process or a later one. */
+export function isNewer(update: LiveEndpoint, known: LiveEndpoint): boolean {
+	return update.startedAt === known.startedAt
+		? update.reportNumber >= known.reportNumber
+		: update.startedAt > known.startedAt;
 }
--- a/packages/router/src/lib/fleet/route-table.ts
+++ b/packages/router/src/lib/fleet/route-table.ts
@@ -1,13 +1,13 @@
-/** Finds a request's route, and the service that takes it. */
+/** Finds the route of a request and chooses its service. */
 import {type Route} from './fleet-document.js';
 
-/** Routes of one document, ready to be looked up. */
+/** Index of a document's routes. */
 export type RouteTable = {
-	/** The route with the longest prefix that begins the path, among those of the host. */
+	/** Returns the host's route with the longest matching prefix of the path. */
 	lookUp: (host: string, path: string) => Route | undefined;
 };
 
-/** Builds the table of a document's routes. */
+/** Builds the index of a document's routes. */
 export function createRouteTable(routes: readonly Route[]): RouteTable {
 	const byHost = new Map<string, Map<string, Route>>();
 	for (const route of routes) {
@@ -25,9 +25,9 @@
 			}
 
 			const pathEnd = path.search(/[#?]/v);
-			const bare = pathEnd === -1 ? path : path.slice(0, pathEnd);
-			for (let end = bare.lastIndexOf('/'); end >= 0; end = bare.lastIndexOf('/', end - 1)) {
-				const route = byPrefix.get(bare.slice(0, end + 1));
+			const pathname = pathEnd === -1 ? path : path.slice(0, pathEnd);
+			for (let end = pathname.lastIndexOf('/'); end >= 0; end = pathname.lastIndexOf('/', end - 1)) {
+				const route = byPrefix.get(pathname.slice(0, end + 1));
 				if (route !== undefined) {
 					return route;
 				}
@@ -48,9 +48,9 @@
 }
 
 /**
- * Draws the service that takes a request of a split route.
+ * Chooses one of a route's target services at random, by weight.
  *
- * @param draw A number from 0 up to 1.
+ * @param draw A random number in [0, 1).
  */
 export function chooseService(route: Route, draw: number): string | undefined {
 	let total = 0;
--- a/packages/router/src/lib/forwarding/attempt.ts
+++ b/packages/router/src/lib/forwarding/attempt.ts
@@ -1,7 +1,7 @@
 /**
- * Sends one request to one endpoint and brings its answer to the caller. What
- * reaches the caller is checked first: it answers this request, the endpoint
- * vouches for it, and it is whole or visibly cut.
+ * Sends one request to one endpoint and passes its response to the caller. The caller only
+ * gets a response that belongs to this request, is confirmed by the endpoint, and is either
+ * complete or visibly truncated.
  */
 import {Buffer} from 'node:buffer';
 import {type AnswerFacts, type CallHeaders} from '../fleet/call-headers.js';
@@ -9,70 +9,70 @@
 import {EndpointExchangeError} from '../orders/orders-errors.js';
 import {failureClasses, type FailureClass} from '../orders/failure-classes.js';
 import {type CallerReply} from './caller-reply.js';
-import {createEventCutter} from './event-frames.js';
+import {createEventSplitter} from './event-splitter.js';
 
-/** An endpoint's answer, read to its end. */
-export type WholeAnswer = {
+/** An endpoint's response, read to its end. */
+export type BufferedResponse = {
 	status: number;
 	headers: readonly string[];
 	body: Buffer;
-	/** It ended with its connection. */
+	/** It had neither a length nor chunks, so its end was the end of the connection. */
 	isUnframed: boolean;
 };
 
 /** How an attempt ended. */
 export type AttemptEnd
-	/** The caller has the answer, or all of it is on its way. */
+	/** The complete response was handed to the caller's connection. */
 	= | {kind: 'answered'; status: number}
 	/** The endpoint proved that it did not run the request. */
 		| {kind: 'notRun'; status: number}
-	/** A whole answer that says the endpoint failed; the caller does not have it yet. */
-		| {kind: 'errorAnswer'; answer: WholeAnswer}
+	/** A complete response with an error status, not yet sent to the caller. */
+		| {kind: 'errorAnswer'; response: BufferedResponse}
 	/** The exchange failed; `failureClasses` says what that proves. */
 		| {kind: 'failed'; failure: FailureClass}
 		| {kind: 'callerLeft'};
 
-/** What the attempt notes as it goes. */
+/** Progress of an attempt, updated while it runs. */
 export type AttemptProgress = {
-	/** `performance.now()` at which the first of the answer's body, or its head, came. */
+	/** `performance.now()` at which the first body chunk of a stream, or else the response head, arrived. */
 	firstAt: number | undefined;
-	/** Id of the last event that the caller has. */
+	/** Id of the last event sent to the caller. */
 	lastEventId: string | undefined;
 	facts: AnswerFacts | undefined;
 };
 
-/** What an attempt needs. */
+/** Options of {@link runAttempt}. */
 export type AttemptOptions = {
 	transport: EndpointTransport;
 	headers: CallHeaders;
 	request: OutgoingRequest;
 	requestId: string | undefined;
 	reply: CallerReply;
-	/** The answer is a stream of events, passed on as they come. */
+	/** The response is a stream of events, which are forwarded as they arrive. */
 	isStream: boolean;
 	progress: AttemptProgress;
-	/** Milliseconds to the head of the answer after which the endpoint counts as silent. */
-	headSilenceMs: number;
-	/** The same from one part of a stream to the next. */
-	eventSilenceMs: number;
-	/** Asked when one of these has passed: whether the request is given up here; else the silence is borne for as long again. */
-	mayLeaveSilent: () => boolean;
-	/** `performance.now()` at which the whole request is given up. */
+	/** Time to the response head after which the endpoint counts as silent, in milliseconds. */
+	headTimeoutMs: number;
+	/** The same between two chunks of the response, in milliseconds. */
+	eventTimeoutMs: number;
+	/** Evaluated after such a timeout: whether to abort the attempt; if not, the timeout starts again. */
+	mayMoveAway: () => boolean;
+	/** `performance.now()` at which the request times out. */
 	deadlineAt: number;
-	/** Called with what the head of an answer says, if it answers this request. */
+	/** Called with the facts of a response head that belongs to this request. */
 	onHead: (facts: AnswerFacts) => void;
-	/** Called when the answer begins. */
-	onBegun: () => void;
-	/** Gets a function that gives the attempt up, unless its answer has begun. */
-	onWithdrawable: (withdraw: () => void) => void;
+	/** Called when the response begins. */
+	onResponseStart: () => void;
+	/** Receives a function that cancels the attempt unless its response has begun. */
+	onCancellable: (cancel: () => void) => void;
 };
 
 const statusOk = 200;
 const statusMultipleChoices = 300;
 const statusServerError = 500;
 
-/** Largest answer that is kept whole before it is passed on, in bytes; larger ones would press on the process's memory. */
-const largestWholeBytes = 8 * 1024 * 1024;
+/** Largest response that is buffered, in bytes; larger ones would take too much of the process's memory. */
+const maxBufferedBytes = 8 * 1024 * 1024;
 
 const isSuccess = (status: number): boolean => status >= statusOk && status < statusMultipleChoices;
 
@@ -85,8 +85,8 @@
 
 function startAttempt(options: AttemptOptions, settle: (end: AttemptEnd) => void): void {
 	const {reply, progress, headers} = options;
-	const cutter = createEventCutter();
-	let isOver = false;
+	const splitter = createEventSplitter();
+	let isSettled = false;
 	let head: {status: number; headers: readonly string[]} | undefined;
 	let chunks: Buffer[] = [];
 	let bytes = 0;
@@ -94,37 +94,37 @@
 	let isReplyUnframed = false;
 
 	const finish = (end: AttemptEnd): void => {
-		if (!isOver) {
-			isOver = true;
+		if (!isSettled) {
+			isSettled = true;
 			clearTimeout(timer);
 			settle(end);
 		}
 	};
 
-	const giveUp = (failure: FailureClass, isSuspect: boolean): void => {
-		if (!isOver) {
-			// Before the abort, which would tell of a reset.
+	const failAttempt = (failure: FailureClass, isSuspect: boolean): void => {
+		if (!isSettled) {
+			// First, since the abort reports a reset.
 			finish({kind: 'failed', failure});
-			exchange.abort(new EndpointExchangeError(`Given up: ${failure}.`), isSuspect);
+			exchange.abort(new EndpointExchangeError(`Attempt aborted: ${failure}.`), isSuspect);
 		}
 	};
 
-	/** Restarts the limit on silence; the deadline bounds it. */
-	const watchSilence = (limitMs: number): void => {
+	/** Restarts the silence timeout, which never exceeds the deadline. */
+	const restartSilenceTimer = (limitMs: number): void => {
 		clearTimeout(timer);
 		const leftMs = options.deadlineAt - performance.now();
 		timer = setTimeout(() => {
 			if (leftMs <= limitMs) {
-				giveUp('late', false);
-			} else if (options.mayLeaveSilent()) {
-				giveUp('silent', true);
+				failAttempt('late', false);
+			} else if (options.mayMoveAway()) {
+				failAttempt('silent', true);
 			} else {
-				watchSilence(limitMs);
+				restartSilenceTimer(limitMs);
 			}
 		}, Math.max(0, Math.min(limitMs, leftMs)));
 	};
 
-	/** Whether the answer is this request's and the endpoint vouches for it. */
+	/** Whether the response belongs to this request and, if it is a success, is signed by the endpoint and unaltered. */
 	const isTrusted = (facts: AnswerFacts, status: number): boolean => {
 		if (facts.requestId !== undefined && options.requestId !== undefined && facts.requestId !== options.requestId) {
 			return false;
@@ -133,7 +133,7 @@
 		return !isSuccess(status) || (facts.isSigned && !facts.isEncoded && facts.requestId === options.requestId);
 	};
 
-	const isRelayed = (): boolean => options.isStream && head !== undefined && isSuccess(head.status);
+	const isPassedThrough = (): boolean => options.isStream && head !== undefined && isSuccess(head.status);
 
 	const startReply = (): void => {
 		if (!reply.isStarted()) {
@@ -142,138 +142,138 @@
 		}
 	};
 
-	const passOn = (chunk: Uint8Array): void => {
-		const frames = cutter.push(chunk);
-		if (frames === undefined) {
+	const forwardChunk = (chunk: Uint8Array): void => {
+		const events = splitter.push(chunk);
+		if (events === undefined) {
 			return;
 		}
 
-		progress.lastEventId = frames.lastId ?? progress.lastEventId;
+		progress.lastEventId = events.lastId ?? progress.lastEventId;
 		startReply();
-		if (!reply.write(frames.bytes)) {
+		if (!reply.write(events.bytes)) {
 			exchange.pause();
 			clearTimeout(timer);
 			reply.onDrain(() => {
 				exchange.resume();
-				watchSilence(options.eventSilenceMs);
+				restartSilenceTimer(options.eventTimeoutMs);
 			});
 		}
 	};
 
 	const endStream = (): void => {
-		// A caller that was promised chunks can't be given an end that may be a cut.
+		// An unframed end may be a truncation, and a chunked response would present it as complete.
 		if (progress.facts!.isUnframed && reply.isStarted() && !isReplyUnframed) {
 			finish({kind: 'failed', failure: 'unframed'});
 			return;
 		}
 
 		startReply();
-		const rest = cutter.rest();
-		reply.end(rest.length > 0 ? rest : undefined);
+		const remainder = splitter.remainder();
+		reply.end(remainder.length > 0 ? remainder : undefined);
 		finish({kind: 'answered', status: head!.status});
 	};
 
-	const endWhole = (): void => {
+	const endBuffered = (): void => {
 		const {status} = head!;
-		const answer: WholeAnswer = {
+		const response: BufferedResponse = {
 			status, headers: head!.headers, body: Buffer.concat(chunks), isUnframed: progress.facts!.isUnframed,
 		};
 		if (progress.facts!.provesNotRun) {
 			finish({kind: 'notRun', status});
 		} else if (status >= statusServerError || reply.isStarted()) {
-			finish({kind: 'errorAnswer', answer});
+			finish({kind: 'errorAnswer', response});
 		} else {
-			sendWhole(reply, headers, answer);
+			sendBuffered(reply, headers, response);
 			finish({kind: 'answered', status});
 		}
 	};
 
 	const exchange = options.transport.send(options.request, {
 		leaving() {
-			if (reply.isGone() || isOver) {
+			if (reply.isDisconnected() || isSettled) {
 				return false;
 			}
 
 			return true;
 		},
 		progress() {
-			// Bodies are sent whole.
+			// Request bodies are buffered, so there is nothing to track.
 		},
-		head(answer) {
-			if (isOver) {
+		head(received) {
+			if (isSettled) {
 				return;
 			}
 
-			const facts = headers.readAnswer(answer.headers, answer.status);
-			if (!isTrusted(facts, answer.status)) {
-				giveUp('crossed', true);
+			const facts = headers.readAnswer(received.headers, received.status);
+			if (!isTrusted(facts, received.status)) {
+				failAttempt('crossed', true);
 				return;
 			}
 
-			head = answer;
+			head = received;
 			progress.facts = facts;
 			options.onHead(facts);
-			progress.firstAt ??= isRelayed() ? undefined : performance.now();
-			if (!isRelayed()) {
-				options.onBegun();
+			progress.firstAt ??= isPassedThrough() ? undefined : performance.now();
+			if (!isPassedThrough()) {
+				options.onResponseStart();
 			}
 
-			watchSilence(options.eventSilenceMs);
+			restartSilenceTimer(options.eventTimeoutMs);
 		},
 		data(chunk) {
-			if (isOver) {
+			if (isSettled) {
 				return;
 			}
 
-			if (isRelayed()) {
+			if (isPassedThrough()) {
 				if (progress.firstAt === undefined) {
 					progress.firstAt = performance.now();
-					options.onBegun();
+					options.onResponseStart();
 				}
 
-				watchSilence(options.eventSilenceMs);
-				passOn(chunk);
+				restartSilenceTimer(options.eventTimeoutMs);
+				forwardChunk(chunk);
 				return;
 			}
 
 			bytes += chunk.length;
 			chunks.push(Buffer.from(chunk));
-			if (bytes > largestWholeBytes) {
+			if (bytes > maxBufferedBytes) {
 				chunks = [];
-				giveUp('truncated', false);
+				failAttempt('truncated', false);
 			}
 		},
 		end() {
-			if (isOver || head === undefined) {
+			if (isSettled || head === undefined) {
 				return;
 			}
 
-			if (isRelayed()) {
+			if (isPassedThrough()) {
 				endStream();
 			} else {
-				endWhole();
+				endBuffered();
 			}
 		},
 		failed(failure) {
 			finish({kind: 'failed', failure: head === undefined || failureClasses[failure].reach === 'nothing' ? failure : 'truncated'});
 		},
 	});
-	watchSilence(options.headSilenceMs);
-	options.onWithdrawable(() => {
+	restartSilenceTimer(options.headTimeoutMs);
+	options.onCancellable(() => {
 		if (progress.firstAt === undefined) {
-			giveUp('cancelled', false);
+			failAttempt('cancelled', false);
 		}
 	});
-	reply.onGone(() => {
-		if (!isOver) {
+	reply.onDisconnect(() => {
+		if (!isSettled) {
 			finish({kind: 'callerLeft'});
-			exchange.abort(new EndpointExchangeError('The caller left.'), false);
+			exchange.abort(new EndpointExchangeError('The caller disconnected.'), false);
 		}
 	});
 }
 
-/** Sends an endpoint's whole answer as it is. */
-export function sendWhole(reply: CallerReply, headers: CallHeaders, {status, headers: raw, body, isUnframed}: WholeAnswer): void {
+/** Sends an endpoint's buffered response to the caller unchanged. */
+export function sendBuffered(reply: CallerReply, headers: CallHeaders, {status, headers: raw, body, isUnframed}: BufferedResponse): void {
 	const framing = isUnframed ? [] : ['Content-Length', String(body.length)];
 	reply.head(status, [...headers.forCaller(raw), ...framing], isUnframed);
 	reply.end(body);
--- a/packages/router/src/lib/forwarding/call.ts
+++ b/packages/router/src/lib/forwarding/call.ts
@@ -6,11 +6,11 @@
 import {type AcceptedDocument} from '../fleet/fleet-view.js';
 import {type PromptNeed} from '../placing/choice-request.js';
 import {type Choice} from '../placing/endpoint-choice.js';
-import {type AttemptProgress, type WholeAnswer} from './attempt.js';
+import {type AttemptProgress, type BufferedResponse} from './attempt.js';
 import {type CallerReply} from './caller-reply.js';
 import {type RefusalName} from './refusals.js';
 
-/** A request's body, read whole. */
+/** A request's complete body. */
 export type RequestBody = {
 	content: Buffer;
 	/** SHA-256 of the content. */
@@ -32,25 +32,25 @@
 	prompt: PromptNeed | undefined;
 	/** `performance.now()` at which the caller gives up. */
 	deadlineAt: number;
-	/** Endpoints that were tried already. */
+	/** Ids of endpoints that were tried already. */
 	excluded: Set<string>;
 	/** Endpoints that the request was sent to. */
 	attempts: number;
 	/** Once true, no response may claim that nothing ran. */
 	mayHaveRun: boolean;
 	/** Attempts whose connection the endpoint broke off. */
-	breaks: number;
-	/** Ends an attempt that hasn't begun. */
-	withdraw: (() => void) | undefined;
+	brokenConnections: number;
+	/** Cancels the current attempt unless its response has begun. */
+	cancel: (() => void) | undefined;
 	/** The retry budget has granted the next attempt. */
-	isNextGranted: boolean;
+	isRetryGranted: boolean;
 	progress: AttemptProgress;
 	/** The endpoint of the latest attempt. */
 	choice: Choice | undefined;
-	/** Milliseconds since the weights of the latest attempt were replaced, at dispatch. */
+	/** Milliseconds since the weights version of the latest attempt was replaced, at dispatch. */
 	weightsAgeMs: number | undefined;
 	/** An endpoint's error response, returned if no retry succeeds. */
-	errorAnswer: WholeAnswer | undefined;
+	errorResponse: BufferedResponse | undefined;
 };
 
 /** Arguments of {@link createCall}. */
@@ -66,13 +66,13 @@
 		excluded: new Set(),
 		attempts: 0,
 		mayHaveRun: false,
-		breaks: 0,
-		withdraw: undefined,
-		isNextGranted: false,
+		brokenConnections: 0,
+		cancel: undefined,
+		isRetryGranted: false,
 		progress: {firstAt: undefined, lastEventId: undefined, facts: undefined},
 		choice: undefined,
 		weightsAgeMs: undefined,
-		errorAnswer: undefined,
+		errorResponse: undefined,
 	};
 }
 
@@ -80,10 +80,10 @@
 export const mayRunAgain = ({route}: Call): boolean => route.kind === 'idempotent' || (route.kind === 'stream' && route.isResumable);
 
 /** Arguments of {@link findRoute}. */
-export type RouteQuestion = Pick<Call, 'req' | 'facts'> & {bodyBytes: number};
+export type RouteQuery = Pick<Call, 'req' | 'facts'> & {bodyBytes: number};
 
 /** Route and workspace of a request, or the reason to reject it. */
-export function findRoute(accepted: AcceptedDocument | undefined, {req, facts, bodyBytes}: RouteQuestion): {route: Route; workspace: Workspace | undefined} | RefusalName {
+export function findRoute(accepted: AcceptedDocument | undefined, {req, facts, bodyBytes}: RouteQuery): {route: Route; workspace: Workspace | undefined} | RefusalName {
 	if (accepted === undefined) {
 		return 'no_document';
 	}
--- a/packages/router/src/lib/forwarding/caller-reply.ts
+++ b/packages/router/src/lib/forwarding/caller-reply.ts
@@ -1,50 +1,50 @@
-/** The answer to one caller: its head, its body, and whether the caller is still there. */
+/** Writes the response to one caller and tells whether the caller is still connected. */
 import {type ServerResponse} from 'node:http';
 
-/** The answer on its way. */
+/** The response to one caller. */
 export type CallerReply = {
-	/** Whether the head has left. */
+	/** Whether the head has been sent. */
 	isStarted: () => boolean;
-	isGone: () => boolean;
+	isDisconnected: () => boolean;
 	status: () => number | undefined;
 	/**
-	 * Sends the head. An unframed answer ends with its connection, as the
-	 * endpoint's did: it may have been cut short without a sign, and a length of
-	 * the router's own would vouch for half an answer.
+	 * Sends the head. An unframed response ends with its connection, as the endpoint's did: it
+	 * may have been truncated undetectably, and a length set by the router would mark a partial
+	 * response as complete.
 	 */
 	head: (status: number, headers: readonly string[], isUnframed?: boolean) => void;
-	/** Sends a part of the body; false when the caller reads too slowly, `onDrain` tells when it may go on. */
+	/** Sends a chunk of the body; returns false if the caller reads too slowly, until `onDrain` calls back. */
 	write: (chunk: Uint8Array) => boolean;
 	onDrain: (resume: () => void) => void;
-	/** Ends the answer as complete. */
+	/** Ends a complete response. */
 	end: (chunk?: Uint8Array) => void;
-	/** Breaks the connection, so that an answer that is not whole does not look complete. */
-	cut: () => void;
-	/** Called when the caller leaves before the end. */
-	onGone: (listener: () => void) => void;
+	/** Destroys the connection, so that a partial response doesn't look complete. */
+	abort: () => void;
+	/** Called when the caller disconnects before the response has ended. */
+	onDisconnect: (listener: () => void) => void;
 };
 
-/** Wraps the runtime's response. */
+/** Wraps a Node.js response. */
 export function createCallerReply(res: ServerResponse): CallerReply {
 	const listeners: Array<() => void> = [];
-	let isGone = res.destroyed;
+	let isDisconnected = res.destroyed;
 	let status: number | undefined;
 	res.on('close', () => {
 		if (res.writableFinished) {
 			return;
 		}
 
-		isGone = true;
+		isDisconnected = true;
 		for (const listener of listeners) {
 			listener();
 		}
 	});
-	// A broken connection also says `close`, which is what counts.
+	// A broken connection also emits `close`, which is handled above.
 	res.on('error', () => undefined);
 
 	return {
 		isStarted: () => res.headersSent,
-		isGone: () => isGone,
+		isDisconnected: () => isDisconnected,
 		status: () => status,
 		head(code, headers, isUnframed = false) {
 			status = code;
@@ -66,11 +66,11 @@
 		end(chunk) {
 			res.end(chunk);
 		},
-		cut() {
+		abort() {
 			res.destroy();
 		},
-		onGone(listener) {
-			if (isGone) {
+		onDisconnect(listener) {
+			if (isDisconnected) {
 				listener();
 			} else {
 				listeners.push(listener);
--- a/packages/router/src/lib/forwarding/entry-server.ts
+++ b/packages/router/src/lib/forwarding/entry-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that callers reach, and the one that the balancer asks. */
+/** HTTP servers for callers, for the load balancer's readiness checks and for metrics. */
 import {Buffer} from 'node:buffer';
 import {createHash, type Hash} from 'node:crypto';
 import {type IncomingMessage} from 'node:http';
@@ -11,7 +11,7 @@
 /** Options of {@link createEntryServer}. */
 export type EntryServerOptions = {
 	forwarder: Forwarder;
-	/** The process stops: callers are told to open their next connection elsewhere. */
+	/** Whether the process is shutting down: responses then close their connections, so that callers reconnect elsewhere. */
 	isStopping: () => boolean;
 	log: Log;
 };
@@ -19,37 +19,37 @@
 /** The server for callers. */
 export type EntryServer = {
 	listen: (address: BindAddress) => Promise<string>;
-	/** Brings new limits into force. */
+	/** Applies new header and idle timeouts. */
 	limit: (limits: CallerLimits) => void;
-	/** Refuses new connections and waits for the answers under way. */
+	/** Refuses new connections and waits for responses in flight. */
 	close: () => Promise<void>;
 };
 
-/** Limits before a document is known: what the largest usual request needs. */
-const firstLimits: CallerLimits = {
+/** Limits until a document is known; sufficient for the largest usual request. */
+const initialLimits: CallerLimits = {
 	headerBytes: 64 * 1024, bodyBytes: 16 * 1024 * 1024, headerMs: 5000, idleMs: 15_000,
 };
 
-/** How often connections are checked for requests whose header does not come, in milliseconds. */
+/** Interval in milliseconds at which connections are checked for header timeouts. */
 const headerCheckMs = 500;
 
-/** Creates the server; it listens when told. */
+/** Creates a server that doesn't listen yet. */
 export function createEntryServer({forwarder, isStopping, log}: EntryServerOptions): EntryServer {
 	const app = fastify({
-		bodyLimit: firstLimits.bodyBytes,
+		bodyLimit: initialLimits.bodyBytes,
 		exposeHeadRoutes: false,
 		forceCloseConnections: 'idle',
 		return503OnClosing: false,
-		keepAliveTimeout: firstLimits.idleMs,
+		keepAliveTimeout: initialLimits.idleMs,
 		http: {
-			maxHeaderSize: firstLimits.headerBytes, headersTimeout: firstLimits.headerMs, connectionsCheckingInterval: headerCheckMs, requestTimeout: 0, noDelay: true,
+			maxHeaderSize: initialLimits.headerBytes, headersTimeout: initialLimits.headerMs, connectionsCheckingInterval: headerCheckMs, requestTimeout: 0, noDelay: true,
 		},
 	});
 	app.removeAllContentTypeParsers();
 	app.addContentTypeParser('*', {parseAs: 'buffer'}, (_req, body, done) => {
 		done(null, body);
 	});
-	/** Grow with the chunks of a body, so that a long one doesn't block the process at its end. */
+	/** Updated with each chunk, so that hashing a long body doesn't block the process at its end. */
 	const bodyHashes = new WeakMap<IncomingMessage, Hash>();
 	app.addHook('preParsing', (req, _reply, payload, done) => {
 		const hash = createHash('sha256');
@@ -65,9 +65,9 @@
 			reply.raw.setHeader('connection', 'close');
 		}
 
-		// A stream that began before the stop promised to keep its connection. The
-		// caller's next request on it would come just before the process ends and
-		// be cut; closed at once, the connection takes none.
+		// A stream that began before the shutdown announced a persistent connection. A further
+		// request on it could arrive just before the process exits and be cut off, so the
+		// connection is closed as soon as the response has been sent.
 		reply.raw.once('finish', () => {
 			if (isStopping()) {
 				req.raw.socket.destroySoon();
@@ -78,7 +78,7 @@
 			const body = Buffer.isBuffer(req.body) ? {content: req.body, hash: bodyHashes.get(req.raw)!.digest()} : undefined;
 			await forwarder.handle(req.raw, body, reply.raw);
 		} catch (error) {
-			log.error('Request failed inside the router.', {err: error});
+			log.error('Request handler threw an error.', {err: error});
 			reply.raw.destroy();
 		}
 
@@ -95,7 +95,7 @@
 	};
 }
 
-/** Creates the server at which the balancer asks whether this process takes connections. */
+/** Creates the server for the load balancer's readiness checks; responds with 200 or 503. */
 export function createReadinessServer(isReady: () => boolean, paths: readonly string[]): FastifyInstance {
 	const app = fastify({forceCloseConnections: true, return503OnClosing: false});
 	for (const path of paths) {
@@ -105,12 +105,12 @@
 	return app;
 }
 
-/** Lets a server give metrics as text. */
+/** Adds a route that serves metrics as text. */
 export function serveMetrics(app: FastifyInstance, text: () => Promise<string>): void {
 	app.get('/metrics', async (_req, reply) => reply.type('text/plain').send(await text()));
 }
 
-/** Creates a server that gives metrics only. */
+/** Creates a server that serves only metrics. */
 export function createMetricsServer(text: () => Promise<string>): FastifyInstance {
 	const app = fastify({forceCloseConnections: true, return503OnClosing: false});
 	serveMetrics(app, text);
--- a/packages/router/src/lib/forwarding/event-frames.ts
+++ b/packages/router/src/lib/forwarding/event-splitter.ts
@@ -1,31 +1,31 @@
 /**
- * Cuts a stream of events into whole events, byte for byte as they came. An
- * endpoint may stop in the middle of an event; what the caller gets ends with
- * a whole one, so that another endpoint can go on behind it.
+ * Splits a stream into complete events without changing a byte. An endpoint may fail in the
+ * middle of an event; the caller then has only complete ones, so that another endpoint can
+ * resume after the last of them.
  */
 import {Buffer} from 'node:buffer';
 
-/** A whole event, or several that arrived together. */
-export type EventFrames = {
-	/** The bytes, blank lines included. */
+/** One or more complete events that arrived together. */
+export type CompleteEvents = {
+	/** Includes the terminating blank lines. */
 	bytes: Buffer;
-	/** Id of the last event among them that has one. */
+	/** Id of the last of these events that has one. */
 	lastId: string | undefined;
 };
 
-/** Cuts one stream. */
-export type EventCutter = {
-	/** Adds bytes; returns the whole events that they complete. */
-	push: (chunk: Uint8Array) => EventFrames | undefined;
-	/** Bytes behind the last whole event. */
-	rest: () => Buffer;
+/** Splits one stream. */
+export type EventSplitter = {
+	/** Adds bytes; returns the events that they complete, if any. */
+	push: (chunk: Uint8Array) => CompleteEvents | undefined;
+	/** Bytes after the last complete event. */
+	remainder: () => Buffer;
 };
 
 const lineFeed = 0x0A;
 const carriageReturn = 0x0D;
 const idField = /(?:^|\n)id: ?(?<id>[^\r\n]*)/gv;
 
-/** Where the last blank line ends, or -1. */
+/** Offset after the last blank line, or -1. */
 function endOfLastEvent(bytes: Buffer, from: number): number {
 	for (let index = bytes.length - 1; index > from; index--) {
 		if (bytes[index] !== lineFeed) {
@@ -41,8 +41,8 @@
 	return -1;
 }
 
-/** Creates a cutter for one stream. */
-export function createEventCutter(): EventCutter {
+/** Creates a splitter for one stream. */
+export function createEventSplitter(): EventSplitter {
 	let pending: Buffer = Buffer.alloc(0);
 
 	return {
@@ -62,6 +62,6 @@
 
 			return {bytes, lastId};
 		},
-		rest: () => pending,
+		remainder: () => pending,
 	};
 }
--- a/packages/router/src/lib/forwarding/forwarder.ts
+++ b/packages/router/src/lib/forwarding/forwarder.ts
@@ -15,15 +15,15 @@
 } from './call.js';
 import {type CallerReply, createCallerReply} from './caller-reply.js';
 import {type ForwardingEvents, type RequestEnd} from './forwarding-events.js';
-import {conclude, type OwnRefusal, refuse} from './own-answer.js';
+import {finishResponse, type RefusalResponse, sendRefusal} from './router-response.js';
 import {createEndpointSender, type EndpointSenderOptions} from './send-to-endpoint.js';
-import {isBetterOff} from './silence.js';
+import {respondsSoon} from './silence-timeouts.js';
 import {
-	judge, reasonOf, type Verdict, withoutEndpoint,
-} from './verdict.js';
+	decideNext, reasonOf, type Decision, decideWithoutEndpoint,
+} from './retry-decision.js';
 
 /** Options of {@link createForwarder}. */
-export type ForwarderOptions = Omit<EndpointSenderOptions, 'mayLeaveSilent'> & {
+export type ForwarderOptions = Omit<EndpointSenderOptions, 'mayMoveAway'> & {
 	view: FleetView;
 	quota: FleetQuota;
 	quarantine: Quarantine;
@@ -49,9 +49,9 @@
 /** Creates the forwarder. */
 export function createForwarder(options: ForwarderOptions): Forwarder {
 	const {view, headers, quota, quarantine, choice, budgetOf} = options;
-	/** Requests that are sent to endpoints. */
+	/** Requests being sent to endpoints. */
 	const calls = new Set<Call>();
-	let underWay = 0;
+	let inFlight = 0;
 
 	const chooseFor = (call: Call): Choice | undefined =>
 		choice.choose({service: call.service, prompt: call.prompt, excluded: call.excluded});
@@ -61,46 +61,46 @@
 
 	/** Whether another endpoint may get the request; withdraws from the retry budget once per attempt. */
 	const mayTryElsewhere = (call: Call): boolean => {
-		if (call.attempts >= call.route.mostEndpoints || performance.now() >= call.deadlineAt || call.reply.isGone()) {
+		if (call.attempts >= call.route.mostEndpoints || performance.now() >= call.deadlineAt || call.reply.isDisconnected()) {
 			return false;
 		}
 
-		call.isNextGranted ||= budgetOf(call.service).withdraw();
-		return call.isNextGranted;
+		call.isRetryGranted ||= budgetOf(call.service).withdraw();
+		return call.isRetryGranted;
 	};
 
-	const mayLeaveSilent = (call: Call): boolean => isBetterOff(call, chooseFor(call)) && mayTryElsewhere(call);
+	const mayMoveAway = (call: Call): boolean => respondsSoon(call, chooseFor(call)) && mayTryElsewhere(call);
 
-	const send = createEndpointSender({...options, mayLeaveSilent});
+	const send = createEndpointSender({...options, mayMoveAway});
 
-	const run = async (call: Call): Promise<Verdict> => {
+	const run = async (call: Call): Promise<Decision> => {
 		for (;;) {
 			const chosen = chooseFor(call);
 			if (chosen === undefined) {
-				return withoutEndpoint(call, options.limits.waitMs(view.endpointsOf(call.service)));
+				return decideWithoutEndpoint(call, options.limits.waitMs(view.endpointsOf(call.service)));
 			}
 
 			call.choice = chosen;
 			call.weightsAgeMs = weightsAgeMs(call, chosen);
 			call.excluded.add(chosen.endpoint.id);
 			call.attempts++;
-			call.isNextGranted = false;
+			call.isRetryGranted = false;
 			const sentAt = performance.now();
 			const end = await send(call, chosen);
-			if (isProvenWhole(call, end)) {
+			if (isProvenComplete(call, end)) {
 				quarantine.ran(call.digest);
 			}
 
-			const verdict = judge(call, end, {mayTryElsewhere, standingOf: quarantine.standingOf});
+			const decision = decideNext(call, end, {mayTryElsewhere, standingOf: quarantine.standingOf});
 			if (end.kind !== 'answered' && end.kind !== 'callerLeft') {
 				options.events.attemptFailed({
 					requestId: call.facts.requestId, digest: call.digest, endpoint: chosen.endpoint.id, service: call.service, reason: reasonOf(end), ms: performance.now() - sentAt,
-					firstMs: call.progress.firstAt === undefined ? undefined : call.progress.firstAt - sentAt, next: verdict.kind,
+					firstMs: call.progress.firstAt === undefined ? undefined : call.progress.firstAt - sentAt, next: decision.kind,
 				});
 			}
 
-			if (verdict.kind !== 'next') {
-				return verdict;
+			if (decision.kind !== 'next') {
+				return decision;
 			}
 		}
 	};
@@ -108,12 +108,12 @@
 	quarantine.onRefused(digest => {
 		for (const call of calls) {
 			if (call.digest === digest) {
-				call.withdraw?.();
+				call.cancel?.();
 			}
 		}
 	});
 
-	const runRegistered = async (call: Call): Promise<Verdict> => {
+	const runRegistered = async (call: Call): Promise<Decision> => {
 		calls.add(call);
 		try {
 			return await run(call);
@@ -122,8 +122,8 @@
 		}
 	};
 
-	/** Checks all that needs no endpoint: route, key, quarantine and quota. */
-	const screen = (req: IncomingMessage, body: RequestBody | undefined, facts: CallFacts): Admitted | Refused => {
+	/** Runs the checks that need no endpoint: route, key, quarantine and quota. */
+	const admit = (req: IncomingMessage, body: RequestBody | undefined, facts: CallFacts): Admitted | Refused => {
 		const found = options.isClosed() ? 'stopping' : findRoute(view.current(), {req, facts, bodyBytes: body?.content.length ?? 0});
 		if (typeof found === 'string') {
 			return {refusal: {name: found, retryAfterMs: found === 'no_document' ? noDocumentRetryMs : 0}, details: {}};
@@ -160,17 +160,17 @@
 		};
 
 		const refuseCaller = ({refusal, details}: Refused): void => {
-			refuse(headers, {reply, facts}, refusal);
+			sendRefusal(headers, {reply, facts}, refusal);
 			reportEnd(refusal.name, details);
 		};
 
-		const screened = screen(req, body, facts);
-		if ('refusal' in screened) {
-			refuseCaller(screened);
+		const result = admit(req, body, facts);
+		if ('refusal' in result) {
+			refuseCaller(result);
 			return;
 		}
 
-		const {route, workspace, digest, mustBeClaimed, refund} = screened;
+		const {route, workspace, digest, mustBeClaimed, refund} = result;
 		if (mustBeClaimed && !await quarantine.claim(digest)) {
 			refund();
 			refuseCaller({refusal: {name: 'crashes_endpoints'}, details: {route, workspace, digest}});
@@ -182,9 +182,9 @@
 			req, body: body?.content, digest, facts, reply, route, workspace, service, startedAt,
 		});
 		budgetOf(service).deposit();
-		const verdict = await runRegistered(call);
-		const reason = conclude(headers, call, verdict);
-		if (verdict.kind === 'refuse' && !call.mayHaveRun) {
+		const decision = await runRegistered(call);
+		const reason = finishResponse(headers, call, decision);
+		if (decision.kind === 'refuse' && !call.mayHaveRun) {
 			refund();
 		}
 
@@ -195,19 +195,19 @@
 
 	return {
 		async handle(req, body, res) {
-			underWay++;
+			inFlight++;
 			try {
 				await handle(req, body, res);
 			} finally {
-				underWay--;
+				inFlight--;
 			}
 		},
-		underWay: () => underWay,
+		underWay: () => inFlight,
 	};
 }
 
-/** Whether the endpoint ran the request to its end; an answer without framing may end with the endpoint. */
-const isProvenWhole = ({progress}: Call, {kind}: AttemptEnd): boolean =>
+/** Whether the endpoint provably ran the request to its end; an unframed response also ends when the endpoint crashes. */
+const isProvenComplete = ({progress}: Call, {kind}: AttemptEnd): boolean =>
 	(kind === 'answered' || kind === 'errorAnswer') && progress.facts?.isUnframed === false;
 
 type EndDetails = {
@@ -223,13 +223,13 @@
 	route: Route;
 	workspace: Workspace | undefined;
 	digest: string;
-	/** It is refused unless this daemon claims it. */
+	/** It is refused unless this daemon's claim on it succeeds. */
 	mustBeClaimed: boolean;
-	/** Gives back what it took of its workspace's quota. */
+	/** Returns the units taken from the workspace's quota. */
 	refund: () => void;
 };
 
-type Refused = {refusal: OwnRefusal; details: EndDetails};
+type Refused = {refusal: RefusalResponse; details: EndDetails};
 
 type EndOfRequest = EndDetails & {
 	reason: string;
--- a/packages/router/src/lib/forwarding/refusals.ts
+++ b/packages/router/src/lib/forwarding/refusals.ts
@@ -1,14 +1,14 @@
-/** Answers of the router's own. */
+/** Error responses that the router itself generates. */
 
-/** Why the router answers itself. */
+/** An error response of the router. */
 export type Refusal = {
 	status: number;
-	/** Says that the request has not run and never will. */
+	/** Whether the response states that the request has not run and never will. */
 	provesNotRun: boolean;
 	text: string;
 };
 
-/** All answers of the router's own. Statuses 429 and 503 promise that nothing ran; 502 and 504 promise nothing. */
+/** All error responses of the router. Statuses 429 and 503 guarantee that the request did not run; 502 and 504 guarantee nothing. */
 export const refusals = {
 	no_document: {status: 503, provesNotRun: true, text: 'This router knows no configuration yet.'},
 	stopping: {status: 503, provesNotRun: true, text: 'This router stops; a new connection reaches another one.'},
--- a/packages/router/src/lib/forwarding/verdict.ts
+++ b/packages/router/src/lib/forwarding/retry-decision.ts
@@ -1,37 +1,37 @@
 /** Decides what follows an attempt: a retry, or a response to the caller. */
 import {brokenOff, failureClasses, type FailureClass} from '../orders/failure-classes.js';
 import {type Standing} from '../quarantine/quarantine.js';
-import {type AttemptEnd, type WholeAnswer} from './attempt.js';
+import {type AttemptEnd, type BufferedResponse} from './attempt.js';
 import {type Call, mayRunAgain} from './call.js';
 import {type RefusalName} from './refusals.js';
 
 /** Outcome of a request, or the decision to retry it. */
-export type Verdict
+export type Decision
 	= | {kind: 'done'; reason: string}
 		| {kind: 'refuse'; name: RefusalName; retryAfterMs?: number}
 		| {kind: 'next'; reason: string};
 
 /** Retry-After in milliseconds for conditions that pass quickly, such as full queues. */
-export const comeBackMs = 250;
+export const defaultRetryAfterMs = 250;
 
 /** Endpoints that a request may fail to connect to before it is rejected. */
-const maxUnreached = 4;
+const maxConnectFailures = 4;
 
-/** Options of {@link judge}. */
-export type JudgeOptions = {
+/** Options of {@link decideNext}. */
+export type DecisionOptions = {
 	/** Whether another endpoint may get the request; withdraws from the retry budget. */
 	mayTryElsewhere: (call: Call) => boolean;
 	standingOf: (digest: string) => Standing;
 };
 
-/** Verdict when no eligible endpoint is left; `waitMs` is the time until one takes a request, if known. */
-export function withoutEndpoint(call: Call, waitMs = 0): Verdict {
+/** Decision when no eligible endpoint is left; `waitMs` is the time until one accepts a request, if known. */
+export function decideWithoutEndpoint(call: Call, waitMs = 0): Decision {
 	return call.mayHaveRun
 		? {kind: 'refuse', name: 'endpoint_failed'}
-		: {kind: 'refuse', name: 'no_endpoint', retryAfterMs: Math.max(comeBackMs, waitMs)};
+		: {kind: 'refuse', name: 'no_endpoint', retryAfterMs: Math.max(defaultRetryAfterMs, waitMs)};
 }
 
-function afterNotRun(call: Call, {mayTryElsewhere, standingOf}: JudgeOptions): Verdict {
+function afterNotRun(call: Call, {mayTryElsewhere, standingOf}: DecisionOptions): Decision {
 	if (standingOf(call.digest) === 'refused') {
 		return {kind: 'refuse', name: call.mayHaveRun ? 'crashed_endpoints' : 'crashes_endpoints'};
 	}
@@ -40,31 +40,31 @@
 		return {kind: 'next', reason: 'not_run'};
 	}
 
-	return call.mayHaveRun ? {kind: 'refuse', name: 'endpoint_failed'} : {kind: 'refuse', name: 'endpoint_refused', retryAfterMs: comeBackMs};
+	return call.mayHaveRun ? {kind: 'refuse', name: 'endpoint_failed'} : {kind: 'refuse', name: 'endpoint_refused', retryAfterMs: defaultRetryAfterMs};
 }
 
-function afterUnreached(call: Call, failure: FailureClass): Verdict {
+function afterConnectFailure(call: Call, failure: FailureClass): Decision {
 	// The endpoint never got the request, so the attempt doesn't count.
 	call.attempts--;
-	return performance.now() < call.deadlineAt && call.excluded.size < maxUnreached
+	return performance.now() < call.deadlineAt && call.excluded.size < maxConnectFailures
 		? {kind: 'next', reason: failure}
-		: withoutEndpoint(call);
+		: decideWithoutEndpoint(call);
 }
 
-function afterFailure(call: Call, failure: FailureClass, {mayTryElsewhere, standingOf}: JudgeOptions): Verdict {
+function afterFailure(call: Call, failure: FailureClass, {mayTryElsewhere, standingOf}: DecisionOptions): Decision {
 	if (failureClasses[failure].reach === 'nothing') {
-		return afterUnreached(call, failure);
+		return afterConnectFailure(call, failure);
 	}
 
 	call.mayHaveRun = true;
-	call.breaks += brokenOff.has(failure) ? 1 : 0;
+	call.brokenConnections += brokenOff.has(failure) ? 1 : 0;
 	const standing = standingOf(call.digest);
 	if (standing === 'refused') {
 		return {kind: 'refuse', name: 'crashed_endpoints'};
 	}
 
-	// A request under which an endpoint ended before may be what ended this one.
-	const isFirstBreak = standing === 'clear' && call.breaks <= 1;
+	// A request during which an endpoint crashed before may have crashed this one too.
+	const isFirstBreak = standing === 'clear' && call.brokenConnections <= 1;
 	if (isFirstBreak && mayRunAgain(call) && mayTryElsewhere(call)) {
 		return {kind: 'next', reason: failure};
 	}
@@ -72,14 +72,14 @@
 	return {kind: 'refuse', name: failure === 'late' || failure === 'silent' ? 'endpoint_late' : 'endpoint_failed'};
 }
 
-function afterError(call: Call, answer: WholeAnswer, {mayTryElsewhere}: JudgeOptions): Verdict {
+function afterErrorResponse(call: Call, response: BufferedResponse, {mayTryElsewhere}: DecisionOptions): Decision {
 	call.mayHaveRun = true;
-	call.errorAnswer = answer;
+	call.errorResponse = response;
 	return mayRunAgain(call) && mayTryElsewhere(call) ? {kind: 'next', reason: 'error_answer'} : {kind: 'done', reason: 'error_answer'};
 }
 
 /** Decides what follows an attempt. */
-export function judge(call: Call, end: AttemptEnd, options: JudgeOptions): Verdict {
+export function decideNext(call: Call, end: AttemptEnd, options: DecisionOptions): Decision {
 	switch (end.kind) {
 		case 'answered': {
 			return {kind: 'done', reason: 'answered'};
@@ -94,7 +94,7 @@
 		}
 
 		case 'errorAnswer': {
-			return afterError(call, end.answer, options);
+			return afterErrorResponse(call, end.response, options);
 		}
 
 		case 'failed': {
--- a/packages/router/src/lib/forwarding/send-to-endpoint.ts
+++ b/packages/router/src/lib/forwarding/send-to-endpoint.ts
@@ -1,4 +1,4 @@
-/** Runs one attempt of a request and records what its outcome tells about the endpoint. */
+/** Runs one attempt of a request and records what its outcome shows about the endpoint. */
 import {type AnswerFacts, type CallHeaders, type Dispatch} from '../fleet/call-headers.js';
 import {type EndpointPresence} from '../fleet/endpoint-presence.js';
 import {type EndpointTransport} from '../orders/endpoint-transport.js';
@@ -11,7 +11,7 @@
 import {type EngineVersions} from '../weights/engine-versions.js';
 import {type AttemptEnd, runAttempt} from './attempt.js';
 import {type Call} from './call.js';
-import {silenceLimits} from './silence.js';
+import {silenceTimeouts} from './silence-timeouts.js';
 
 /** Options of {@link createEndpointSender}. */
 export type EndpointSenderOptions = {
@@ -24,8 +24,8 @@
 	transport: EndpointTransport;
 	crashWatch: CrashWatch;
 	limits: EndpointLimits;
-	/** Whether a request may be moved away from a silent endpoint. */
-	mayLeaveSilent: (call: Call) => boolean;
+	/** Whether a request may be moved from a silent endpoint to another one. */
+	mayMoveAway: (call: Call) => boolean;
 };
 
 /** Sends a request to the chosen endpoint; resolves when the attempt has ended, never rejects. */
@@ -37,11 +37,11 @@
 /** The lowest priority that endpoints accept. */
 const lowestPriority = 9;
 
-/** Longest event id that is told to peers. */
+/** Longest event id that is reported to peers, in characters. */
 const maxPositionChars = 16;
 
-/** Position of a stream at which the caller is. */
-const positionOf = ({progress, facts}: Call): string => (progress.lastEventId ?? facts.resumeAfter ?? '').slice(0, maxPositionChars);
+/** Id of the last event that the caller has; empty if none. */
+const streamPosition = ({progress, facts}: Call): string => (progress.lastEventId ?? facts.resumeAfter ?? '').slice(0, maxPositionChars);
 
 /** Creates a sender. */
 export function createEndpointSender(options: EndpointSenderOptions): SendToEndpoint {
@@ -61,8 +61,8 @@
 		saveTo,
 	});
 
-	/** An answer that names no limit says so only if the endpoint vouches for it. */
-	const learnLimit = ({endpoint}: Choice, {limit, endpointId, isSigned}: AnswerFacts): void => {
+	/** The absence of a limit counts only in a signed response. */
+	const recordLimit = ({endpoint}: Choice, {limit, endpointId, isSigned}: AnswerFacts): void => {
 		if (limit === 'unreadable' || (endpointId ?? endpoint.id) !== endpoint.id) {
 			return;
 		}
@@ -72,7 +72,7 @@
 		}
 	};
 
-	const learnPresence = (call: Call, {endpoint}: Choice, end: AttemptEnd): void => {
+	const recordPresence = (call: Call, {endpoint}: Choice, end: AttemptEnd): void => {
 		if (end.kind === 'answered') {
 			presence.accepted(endpoint);
 		} else if (end.kind === 'failed' && end.failure === 'connect_failed') {
@@ -83,7 +83,7 @@
 		}
 	};
 
-	const learnHealth = (call: Call, {endpoint}: Choice, end: AttemptEnd): void => {
+	const recordHealth = (call: Call, {endpoint}: Choice, end: AttemptEnd): void => {
 		if (end.kind === 'answered') {
 			health.succeeded(endpoint.id);
 		} else if (end.kind === 'failed' && failureClasses[end.failure].blamesEndpoint && performance.now() < call.deadlineAt - deadlineMarginMs) {
@@ -91,7 +91,7 @@
 		}
 	};
 
-	const learn = (call: Call, chosen: Choice, end: AttemptEnd, sentAt: number): void => {
+	const recordOutcome = (call: Call, chosen: Choice, end: AttemptEnd, sentAt: number): void => {
 		const {id} = chosen.endpoint;
 		const {facts, firstAt} = call.progress;
 		if (facts?.load !== undefined) {
@@ -107,17 +107,17 @@
 		}
 
 		if (end.kind === 'failed' && brokenOff.has(end.failure)) {
-			crashWatch.brokeOff(chosen.endpoint, {digest: call.digest, position: positionOf(call)});
+			crashWatch.brokeOff(chosen.endpoint, {digest: call.digest, position: streamPosition(call)});
 		}
 
-		learnPresence(call, chosen, end);
-		learnHealth(call, chosen, end);
+		recordPresence(call, chosen, end);
+		recordHealth(call, chosen, end);
 	};
 
 	return async (call, chosen) => {
 		const {endpoint} = chosen;
 		const target = {name: endpoint.id, address: `http://${endpoint.address}`};
-		const {headMs, eventMs} = silenceLimits(call);
+		const {headMs, eventMs} = silenceTimeouts(call);
 		const sentAt = performance.now();
 		call.progress.facts = undefined;
 		call.progress.firstAt = undefined;
@@ -147,20 +147,20 @@
 			reply: call.reply,
 			isStream: call.route.kind === 'stream',
 			progress: call.progress,
-			headSilenceMs: headMs,
-			eventSilenceMs: eventMs,
-			mayLeaveSilent: () => options.mayLeaveSilent(call),
+			headTimeoutMs: headMs,
+			eventTimeoutMs: eventMs,
+			mayMoveAway: () => options.mayMoveAway(call),
 			deadlineAt: call.deadlineAt,
 			onHead(facts) {
-				learnLimit(chosen, facts);
+				recordLimit(chosen, facts);
 			},
-			onBegun: work.begun,
-			onWithdrawable(withdraw) {
-				call.withdraw = withdraw;
+			onResponseStart: work.begun,
+			onCancellable(cancel) {
+				call.cancel = cancel;
 			},
 		});
 		work.ended(end.kind === 'answered');
-		learn(call, chosen, end, sentAt);
+		recordOutcome(call, chosen, end, sentAt);
 		return end;
 	};
 }
--- a/packages/router/src/lib/forwarding/silence.ts
+++ b/packages/router/src/lib/forwarding/silence-timeouts.ts
@@ -19,10 +19,10 @@
 const soonRatio = 0.5;
 
 /** Silence timeouts in milliseconds, up to the response head and between events. */
-export type SilenceLimits = {headMs: number; eventMs: number};
+export type SilenceTimeouts = {headMs: number; eventMs: number};
 
 /** Timeouts of a request's next attempt. */
-export function silenceLimits(call: Call): SilenceLimits {
+export function silenceTimeouts(call: Call): SilenceTimeouts {
 	const {route} = call;
 	const remainingMs = call.deadlineAt - performance.now();
 	if (!mayRunAgain(call) || call.attempts >= route.mostEndpoints) {
@@ -35,5 +35,5 @@
 }
 
 /** Whether the next endpoint is expected to respond soon enough to move a silent request there. */
-export const isBetterOff = (call: Call, next: Choice | undefined): boolean =>
+export const respondsSoon = (call: Call, next: Choice | undefined): boolean =>
 	next !== undefined && next.expectedMs <= call.route.targetMs * soonRatio;
--- a/packages/router/src/test/fleet/change-feed.test.ts
+++ b/packages/router/src/test/fleet/change-feed.test.ts
@@ -26,7 +26,7 @@
 		clock.uninstall();
 	});
 
-	/** Ten seconds in which some peer always knows of a newer change. */
+	/** Sends hints of ever newer changes for 10 s. */
 	const hintOften = async (): Promise<void> => {
 		for (let at = 0; at < 10_000; at += 12) {
 			await clock.tickAsync(12);
@@ -51,11 +51,11 @@
 		log: createSilentLog(),
 	});
 
-	/** Answers each question from the list, the last one forever by silence. */
-	const source = (list: Array<Changes<string>>, answers: Array<Changes<string> | Error>): Omit<ChangeSource<string>, 'decode'> => ({
+	/** Responds to each poll from `answers`; once they are used up, polls time out. */
+	const source = (list: Array<Changes<string>>, responses: Array<Changes<string> | Error>): Omit<ChangeSource<string>, 'decode'> => ({
 		list: async () => list.shift()!,
 		async changes(_after, _waitMs, limitMs) {
-			const next = answers.shift();
+			const next = responses.shift();
 			if (next === undefined) {
 				await new Promise((_resolve, reject) => {
 					setTimeout(reject, limitMs, new Error('silent'));
@@ -70,14 +70,14 @@
 		},
 	});
 
-	it('lists once and then hands over what changes', async () => {
+	it('lists the table once and then passes on changes', async () => {
 		feed = follow(source([{version: 5, changes: [change('a', 3)]}], [{version: 6, changes: [change('b', 6)]}]));
 		await clock.tickAsync(10);
 		assert.deepEqual(seen, ['all a Infinity', 'b 0']);
 		assert.equal(feed.newestChange(), 6);
 	});
 
-	it('lists anew when the history is gone, and takes nothing older over', async () => {
+	it('lists the table again when the history is gone, and ignores an older listing', async () => {
 		feed = follow(source(
 			[{version: 5, changes: [change('a', 3)]}, {version: 4, changes: []}],
 			[new HistoryGoneError('gone')],
@@ -86,46 +86,45 @@
 		assert.deepEqual(seen, ['all a Infinity']);
 	});
 
-	it('asks anew after silence, and says how old the news may be', async () => {
-		// The connection goes silent for good. After the wait and the time for an
-		// answer the question counts as lost; the next one finds what was missed.
-		const answers: Array<Changes<string> | Error> = [];
-		feed = follow(source([{version: 5, changes: []}], answers));
+	it('polls again after a timeout, and reports the maximum age of the changes', async () => {
+		// The connection is dead. The poll times out after `waitMs` plus `answerMs`, and the
+		// next one returns the missed change.
+		const responses: Array<Changes<string> | Error> = [];
+		feed = follow(source([{version: 5, changes: []}], responses));
 		await clock.tickAsync(1100);
-		answers.push({version: 9, changes: [change('c', 9)]});
+		responses.push({version: 9, changes: [change('c', 9)]});
 		await clock.tickAsync(200);
 		assert.match(seen[1], /^c 12\d\d$/v);
 	});
 
-	it('asks at once when a peer knows of a change that it has not heard', async () => {
-		const answers: Array<Changes<string> | Error> = [];
-		feed = follow(source([{version: 5, changes: []}], answers));
+	it('polls immediately when a peer knows of a change that it has not seen', async () => {
+		const responses: Array<Changes<string> | Error> = [];
+		feed = follow(source([{version: 5, changes: []}], responses));
 		await clock.tickAsync(300);
-		answers.push({version: 9, changes: [change('d', 9)]});
+		responses.push({version: 9, changes: [change('d', 9)]});
 		feed.hint(9);
 		await clock.tickAsync(10);
 		assert.match(seen[1], /^d 30\d$/v);
 	});
 
-	it('asks once for all that peers hear of within its rest', async () => {
-		// Engines change weights and their rows change for seconds. The daemons rest
-		// at different moments, so that one of them always knows of a row that another
-		// will hear of a moment later. Asked for at each hint, every row cost a call of
-		// every daemon.
+	it('polls once for all hints within its pause', async () => {
+		// While engines change weights, their rows change for seconds. Daemons pause at
+		// different moments, so one always knows of a row that another is about to see. A
+		// poll for each hint would cost a call per row and daemon.
 		const rows = [change('a', 6)];
-		let questions = 0;
+		let polls = 0;
 		feed = follow({
 			list: async () => ({version: 5, changes: []}),
 			async changes(after, _waitMs, limitMs) {
-				questions++;
-				const news = rows.filter(row => row.version > after);
-				if (news.length === 0) {
+				polls++;
+				const newRows = rows.filter(row => row.version > after);
+				if (newRows.length === 0) {
 					await new Promise((_resolve, reject) => {
 						setTimeout(reject, limitMs, new Error('silent'));
 					});
 				}
 
-				return {version: rows.at(-1)!.version, changes: news};
+				return {version: rows.at(-1)!.version, changes: newRows};
 			},
 		}, 250);
 		await clock.tickAsync(10);
@@ -137,28 +136,28 @@
 
 		await clock.tickAsync(500);
 		assert.deepEqual(seen.slice(1).map(text => text.split(' ')[0]), ['a', 'v7v8v9']);
-		assert.equal(questions, 3);
+		assert.equal(polls, 3);
 	});
 
-	it('does not press a store that refuses it, however often peers tell of a change', async () => {
-		let questions = 0;
+	it('limits its calls to a store that rejects them, however often peers send hints', async () => {
+		let polls = 0;
 		feed = follow({
 			list: async () => ({version: 5, changes: []}),
 			async changes() {
-				questions++;
+				polls++;
 				throw new Error('refused');
 			},
 		}, 0);
 		await hintOften();
-		assert.isAtMost(questions, 30);
+		assert.isAtMost(polls, 30);
 	});
 
-	it('does not press a store that answers its waiting question late, and refuses others', async () => {
-		let questions = 0;
+	it('limits its calls to a store that responds late to a long poll and rejects other calls', async () => {
+		let polls = 0;
 		feed = follow({
 			list: async () => ({version: 5, changes: []}),
 			async changes(_after, waitMs) {
-				questions++;
+				polls++;
 				if (waitMs > 0) {
 					await new Promise(resolve => {
 						setTimeout(resolve, 60_000);
@@ -169,6 +168,6 @@
 			},
 		}, 0);
 		await hintOften();
-		assert.isAtMost(questions, 30);
+		assert.isAtMost(polls, 30);
 	});
 });
--- a/packages/router/src/test/fleet/endpoint-tracker.test.ts
+++ b/packages/router/src/test/fleet/endpoint-tracker.test.ts
@@ -13,7 +13,7 @@
 	},
 });
 
-const gone = (id: string) => ({key: id, version: 2, item: undefined});
+const deleted = (id: string) => ({key: id, version: 2, item: undefined});
 
 describe('createEndpointTracker', () => {
 	let clock: FakeTimers.Clock;
@@ -32,17 +32,17 @@
 		clock.uninstall();
 	});
 
-	it('drops an endpoint at once when its entry goes in calm', () => {
-		tracker.update([gone('e1')], 0);
+	it('drops an endpoint immediately when its entry is deleted without an outage', () => {
+		tracker.update([deleted('e1')], 0);
 		assert.isUndefined(view.endpoint('e1'));
 	});
 
-	it('keeps endpoints whose entries lapsed while the store was away, until they should be back', () => {
-		// The store is away for 6 s and takes no heartbeats, so all entries lapse.
-		// Its first answer lists nobody; the endpoints live and come back within 2 s.
-		// Callers must be served meanwhile, and the one that does not come back goes.
+	it('keeps endpoints whose entries expired during a store outage for the grace period', () => {
+		// During a 6 s outage the store accepts no heartbeats, so all entries expire and its
+		// first listing is empty. The endpoints still run and are listed again within 2 s;
+		// dropping them would leave callers without any. One that isn't listed again is dropped.
 		clock.tick(6000);
-		tracker.regained?.(6000, 0);
+		tracker.recovered?.(6000, 0);
 		tracker.replace([], 6000);
 		assert.lengthOf(view.endpointsOf('desk'), 2);
 		clock.tick(1000);
--- a/packages/router/src/test/fleet/feed-relay.test.ts
+++ b/packages/router/src/test/fleet/feed-relay.test.ts
@@ -15,7 +15,7 @@
 		clock.uninstall();
 	});
 
-	it('relays each change once, between the versions of two relays', () => {
+	it('relays each change once, with the version of the previous relay', () => {
 		const log = createRelayLog();
 		log.listed({version: 5, changes: [row('a', 3)]});
 		assert.deepEqual(log.take(), {
@@ -31,8 +31,8 @@
 		});
 	});
 
-	it('does not pass a change on as new that this daemon did not see at once', () => {
-		// Weights that were named a moment ago would count as named at the relay's arrival.
+	it('does not mark changes as prompt that this daemon saw late', () => {
+		// Peers would otherwise date a weights naming that happened earlier to the relay's arrival.
 		const log = createRelayLog();
 		log.listed({version: 5, changes: []});
 		log.changed({version: 6, changes: [row('a', 6)]}, false);
@@ -42,7 +42,7 @@
 		assert.isTrue(log.take().isPrompt);
 	});
 
-	it('tells which rows have vanished between two listings', () => {
+	it('relays rows deleted between two listings', () => {
 		const log = createRelayLog();
 		log.listed({version: 5, changes: [row('a', 3), row('b', 4)]});
 		log.take();
@@ -50,7 +50,7 @@
 		assert.deepEqual(log.take().rows, [['c', 8, 'c'], ['a', 9, null]]);
 	});
 
-	it('leaves out what exceeds a datagram, and says from where it is complete', () => {
+	it('omits rows that exceed a datagram, and states the version after which it is complete', () => {
 		const log = createRelayLog();
 		log.listed({version: 1, changes: []});
 		log.changed({version: 4, changes: [row('a', 2, 'x'.repeat(10_000)), row('b', 3, 'x'.repeat(10_000)), row('c', 4)]}, true);
@@ -58,7 +58,7 @@
 		assert.deepEqual([since, rows.map(([key]) => key)], [2, ['b', 'c']]);
 	});
 
-	it('never relays a row with secrets, and sends peers to the store for it', () => {
+	it('never relays a row with secrets, so that peers read it from the store', () => {
 		// The operator's document holds the workspaces' keys, and datagrams aren't encrypted.
 		const log = createRelayLog();
 		log.listed({version: 1, changes: []});
@@ -67,7 +67,7 @@
 		assert.deepEqual([since, rows], [3, [['c', 4, 'c']]]);
 	});
 
-	it('keeps a bounded number of changes while it relays nothing', () => {
+	it('stores a bounded number of changes between two relays', () => {
 		const log = createRelayLog();
 		log.listed({version: 1, changes: []});
 		for (let version = 2; version < 10_000; version++) {
@@ -78,10 +78,10 @@
 		assert.deepEqual([since, version, rows.length], [9743, 9999, 256]);
 	});
 
-	it('tells an outage for as long as entries may still lapse from it', () => {
+	it('reports an outage for as long as entries may still expire because of it', () => {
 		const log = createRelayLog();
 		log.listed({version: 1, changes: []});
-		log.regained(Number.POSITIVE_INFINITY);
+		log.recovered(Number.POSITIVE_INFINITY);
 		clock.tick(4000);
 		assert.deepEqual(log.take().outage, [3_600_000, 4000]);
 		clock.tick(6001);
--- a/packages/router/src/test/fleet/fleet-view.test.ts
+++ b/packages/router/src/test/fleet/fleet-view.test.ts
@@ -31,7 +31,7 @@
 		clock.uninstall();
 	});
 
-	it('never goes back to an older document, nor to a key that it withdrew', () => {
+	it('never reverts to an older document, nor to a key that was removed since', () => {
 		const view = createFleetView(createSilentLog());
 		view.acceptDocument(document(3, ['k1', 'k2']));
 		view.acceptDocument(document(7, ['k1']));
@@ -40,9 +40,9 @@
 		assert.isFalse(view.current()?.workspaceOfKey.has('k2'));
 	});
 
-	it('takes no outdated report for news of an endpoint', () => {
-		// An endpoint said that it leaves. A report that it wrote before, or one of
-		// the process before it, arrives late: it must get no new work by that.
+	it('ignores outdated reports of an endpoint', () => {
+		// An endpoint has reported that it is leaving. An earlier report of it, or one of the
+		// previous process, arrives late and must not get it new requests.
 		const view = createFleetView(createSilentLog());
 		view.acceptEndpoint(endpoint({isLeaving: true, reportNumber: 6}));
 		view.acceptEndpoint(endpoint({reportNumber: 5}));
@@ -52,9 +52,10 @@
 		assert.isFalse(view.endpoint('e1')?.isLeaving);
 	});
 
-	it('counts the age of old weights from the first newer version, however many follow', () => {
-		// Weights are named twice, 5 s apart. Engines still on the first version are
-		// 7 s behind then, not 2: a request that begins there is too late at 8 s.
+	it('measures the age of old weights from the first newer version', () => {
+		// Weights are named twice, 5 s apart. 2 s later, engines on the first version are 7 s
+		// behind, not 2 s. Measured from the newest naming, requests would still start there
+		// after the limit of 8 s.
 		const view = createFleetView(createSilentLog());
 		view.acceptWeights('m', 1, 0);
 		view.acceptWeights('m', 2, 0);
@@ -65,9 +66,9 @@
 		assert.deepEqual([named.outdatedMs(1), named.outdatedMs(2), named.outdatedMs(3)], [7000, 2000, 0]);
 	});
 
-	it('knows after a restart from a peer when weights were named', () => {
-		// A daemon restarts and reads that version 4 is named. Without more it must
-		// take old weights for too old; a peer says how old each naming is.
+	it('learns the age of namings from a peer after a restart', () => {
+		// A restarted daemon reads that version 4 is named, but not since when, so it must treat
+		// older weights as infinitely outdated until a peer reports the age of each naming.
 		const view = createFleetView(createSilentLog());
 		view.acceptWeights('m', 4, Number.POSITIVE_INFINITY);
 		assert.equal(view.namedWeights('m')!.outdatedMs(2), Number.POSITIVE_INFINITY);
@@ -78,7 +79,7 @@
 		assert.deepEqual(view.recentWeights(2000), [['m', 4, 1000]]);
 	});
 
-	it('takes weights for too old while a newer version than theirs may have been named unheard', () => {
+	it('treats weights as infinitely outdated while a newer version may have been missed', () => {
 		const view = createFleetView(createSilentLog());
 		view.acceptWeights('m', 5, Number.POSITIVE_INFINITY);
 		view.datedWeights('m', 5, 1000);
@@ -86,14 +87,14 @@
 		assert.deepEqual([named.outdatedMs(2), named.outdatedMs(4)], [Number.POSITIVE_INFINITY, 1000]);
 	});
 
-	it('knows the age of the first weights when the first naming skips a version', () => {
+	it('measures the age of the first weights when the first naming skips a version', () => {
 		const view = createFleetView(createSilentLog());
 		view.acceptWeights('m', 3, 0);
 		clock.tick(1000);
 		assert.equal(view.namedWeights('m')!.outdatedMs(1), 1000);
 	});
 
-	it('counts weights as replaced since it was cut off when a version may have been named meanwhile', () => {
+	it('measures the age of weights from the start of a disconnection in which a naming may have been missed', () => {
 		const view = createFleetView(createSilentLog());
 		view.acceptWeights('m', 3, 0);
 		clock.tick(30_000);
--- a/packages/router/src/test/fleet/shared-feed.test.ts
+++ b/packages/router/src/test/fleet/shared-feed.test.ts
@@ -12,7 +12,7 @@
 const trustMs = 1400;
 const relayMs = 100;
 const maxTransitMs = 20;
-/** A change must be in force everywhere after this time. */
+/** Every daemon must have applied a change after this time, in milliseconds. */
 const boundMs = 2000;
 
 /** A table of the store, with a history. */
@@ -22,8 +22,8 @@
 	let version = 1;
 	let historyFrom = 0;
 	const wake = (): void => {
-		for (const look of waiting) {
-			look();
+		for (const waiter of waiting) {
+			waiter();
 		}
 	};
 
@@ -75,15 +75,16 @@
 	};
 }
 
-describe('a table that a fleet follows together', () => {
+describe('followChanges with sharing', () => {
 	let clock: FakeTimers.Clock;
 	let table: ReturnType<typeof createTable>;
 	let fleet: Map<string, ReturnType<typeof startDaemon>>;
 	let calls: number;
 	let random: () => number;
-	/** Daemons that the store doesn't answer, and whose datagrams are lost. */
+	/** Daemons that get no response from the store. */
 	let withoutStore: Set<string>;
 	let stopped: Set<string>;
+	/** Fraction of datagrams that are lost. */
 	let lossRatio: number;
 
 	beforeEach(() => {
@@ -113,7 +114,7 @@
 		const readers: FeedReaders = createFeedReaders({
 			name, table: 'endpoints', peers: () => names.filter(other => other !== name && !stopped.has(other)), silenceMs: trustMs,
 		});
-		const ask = async <Answer>(limitMs: number, work: () => Promise<Answer>): Promise<Answer> => {
+		const callStore = async <Answer>(limitMs: number, work: () => Promise<Answer>): Promise<Answer> => {
 			calls++;
 			if (withoutStore.has(name) || stopped.has(name)) {
 				await new Promise((_resolve, reject) => {
@@ -124,7 +125,7 @@
 			return work();
 		};
 
-		const note = (key: string, text: string | undefined): void => {
+		const applyRow = (key: string, text: string | undefined): void => {
 			if (text === undefined) {
 				rows.delete(key);
 			} else {
@@ -136,8 +137,8 @@
 		};
 
 		const source: ChangeSource<string> = {
-			list: async limitMs => ask(limitMs, async () => table.read()),
-			changes: async (after, wait, limitMs) => ask(limitMs, async () => table.feed(after, wait)),
+			list: async limitMs => callStore(limitMs, async () => table.read()),
+			changes: async (after, wait, limitMs) => callStore(limitMs, async () => table.feed(after, wait)),
 			decode: ([key, version, text]: RelayedRow) => ({
 				key, version, item: text ?? undefined, text: text ?? undefined,
 			}),
@@ -149,13 +150,13 @@
 				replace(all) {
 					rows.clear();
 					for (const {key, item} of all) {
-						note(key, item);
+						applyRow(key, item);
 					}
 				},
 				update(changed, atMostMs) {
 					for (const {key, item} of changed) {
 						unseenMs.set(key, Math.max(unseenMs.get(key) ?? 0, atMostMs));
-						note(key, item);
+						applyRow(key, item);
 					}
 				},
 			},
@@ -206,7 +207,7 @@
 
 	const readerNames = (): string[] => [...fleet].filter(([name, {readers}]) => !stopped.has(name) && readers.dueInMs() === 0).map(([name]) => name);
 
-	/** Milliseconds until the last daemon that runs has seen a new row. */
+	/** Milliseconds until every running daemon has seen a new row. */
 	const spreadMs = async (key: string, text: string | undefined): Promise<number> => {
 		const from = performance.now();
 		table.put(key, text);
@@ -224,8 +225,8 @@
 		}
 	};
 
-	/** Plays a minute with a change each ten seconds; returns the calls of each reader. */
-	const playMinute = async (count: number): Promise<number> => {
+	/** Simulates a minute with a change every 10 s; returns the calls per reader. */
+	const simulateMinute = async (count: number): Promise<number> => {
 		await startFleet(count);
 		for (let second = 0; second < 60; second++) {
 			await clock.tickAsync(1000);
@@ -240,19 +241,19 @@
 	};
 
 	for (const count of [9, 33, 200]) {
-		it(`costs the store the calls of its readers alone, with ${count} daemons`, async () => {
-			// One call in each wait, and one for each change.
-			assert.isAtMost(await playMinute(count), 60 + 6 + 1);
+		it(`only sends calls of readers to the store, with ${count} daemons`, async () => {
+			// One call per long poll of 1 s, and one per change.
+			assert.isAtMost(await simulateMinute(count), 60 + 6 + 1);
 		});
 	}
 
-	it('brings a change to all daemons at once, as new', async () => {
+	it('delivers a change to all daemons within the transit time, marked as prompt', async () => {
 		await startFleet(33);
 		assert.isAtMost(await spreadMs('e1', 'leaving'), maxTransitMs);
 		assert.deepEqual([...new Set([...fleet.values()].map(({unseenOf}) => unseenOf('e1')))], [0]);
 	});
 
-	it('brings a change in time though all readers stop right before it', async () => {
+	it('delivers a change in time even if all readers stop right before it', async () => {
 		await startFleet(33);
 		for (const name of readerNames()) {
 			stopped.add(name);
@@ -261,18 +262,18 @@
 		assert.isBelow(await spreadMs('e1', 'leaving'), boundMs);
 	});
 
-	it('brings a change in time though the store answers no reader any more', async () => {
-		// Peers hear a reader that is cut off from the store alone, so its reports tell them nothing.
+	it('delivers a change in time even if the store no longer responds to any reader', async () => {
+		// A reader that has lost only the store still sends reports, so peers can't tell from them that it has failed.
 		await startFleet(33);
 		withoutStore = new Set(readerNames());
 		assert.isBelow(await spreadMs('e1', 'leaving'), boundMs);
 		await clock.tickAsync(10_000);
 		calls = 0;
 		await clock.tickAsync(10_000);
-		assert.isBelow(calls, 100, 'others read for the group');
+		assert.isBelow(calls, 100, 'other daemons took over as readers');
 	});
 
-	it('takes back an endpoint that one daemon alone missed', async () => {
+	it('converges after datagrams were lost', async () => {
 		await startFleet(33);
 		lossRatio = 0.3;
 		for (let round = 0; round < 40; round++) {
@@ -284,7 +285,7 @@
 		assertAllAgree();
 	});
 
-	it('lists anew where the history is gone, and tells peers what has vanished', async () => {
+	it('lists the table again when the history is gone, and relays deleted rows', async () => {
 		await startFleet(33);
 		table.put('e1', 'ready');
 		await clock.tickAsync(100);
@@ -294,19 +295,19 @@
 		assertAllAgree();
 	});
 
-	it('asks the store itself for a row that is too large to relay', async () => {
+	it('polls the store for a row that is too large to relay', async () => {
 		await startFleet(33);
 		assert.isBelow(await spreadMs('document', 'x'.repeat(40_000)), boundMs);
 		assertAllAgree();
 	});
 
-	it('presses a store that is down with few calls, and follows it again in time', async () => {
+	it('limits the calls to a store that is down, and recovers in time', async () => {
 		await startFleet(200);
 		withoutStore = new Set(fleet.keys());
 		await clock.tickAsync(5000);
 		calls = 0;
 		await clock.tickAsync(10_000);
-		// Timeouts of 400 ms and a backoff of 1,400 ms; two readers back off for 400 ms.
+		// Calls time out after 400 ms and back off for 1,400 ms; the two readers back off for 400 ms.
 		assert.isAtMost(calls, (198 * 6) + (2 * 13));
 		withoutStore.clear();
 		assert.isBelow(await spreadMs('e1', 'leaving'), boundMs);
--- a/packages/router/src/test/fleet/view-histories.test.ts
+++ b/packages/router/src/test/fleet/view-histories.test.ts
@@ -18,8 +18,8 @@
 	id: 'e1', service: 'desk', address: '10.0.0.1:80', dataCentre: 'a', slots: 6, isLeaving, startedAt, reportNumber, weights: new Map(),
 });
 
-describe('createFleetView over generated histories', () => {
-	it('holds the newest document of all that came, in whatever order and however often', () => {
+describe('createFleetView with generated histories', () => {
+	it('keeps the newest document, in whatever order and however often documents arrive', () => {
 		fc.assert(fc.property(fc.array(fc.integer({min: 1, max: 50}), {minLength: 1}), versions => {
 			const view = createFleetView(createSilentLog());
 			let newest = 0;
@@ -31,15 +31,15 @@
 		}), {seed: 11, numRuns: 200});
 	});
 
-	it('holds what the latest process of an endpoint said last, in whatever order reports come', () => {
-		// Lists, feeds and namings by peers overtake each other. An endpoint that
-		// said that it leaves must not come back by a report from before.
+	it('keeps the latest report of the latest process of an endpoint, in whatever order reports arrive', () => {
+		// Listings, feeds and peers' reports overtake each other. An earlier report must not
+		// make an endpoint available again that has reported to be leaving.
 		const reports = fc.array(fc.tuple(fc.integer({min: 1, max: 4}), fc.integer({min: 1, max: 12})), {minLength: 1});
 		fc.assert(fc.property(reports, arrivals => {
 			const view = createFleetView(createSilentLog());
 			let newest = [0, 0];
 			for (const [startedAt, reportNumber] of arrivals) {
-				// A process leaves with its tenth report and doesn't come back.
+				// A process starts leaving with its tenth report and never becomes available again.
 				view.acceptEndpoint(endpoint(startedAt, reportNumber, reportNumber >= 10));
 				if (startedAt > newest[0] || (startedAt === newest[0] && reportNumber > newest[1])) {
 					newest = [startedAt, reportNumber];
--- /dev/null
+++ b/packages/router/src/test/forwarding/event-splitter.test.ts
@@ -0,0 +1,34 @@
+import {Buffer} from 'node:buffer';
+import {assert} from 'chai';
+import fc from 'fast-check';
+import {createEventSplitter} from '../../lib/forwarding/event-splitter.js';
+
+describe('createEventSplitter', () => {
+	it('returns only complete events, and all bytes in order, however the stream is chunked', () => {
+		const event = fc.tuple(fc.nat(999), fc.string({maxLength: 12}).map(text => text.replaceAll(/[\r\n]/gv, ' ')), fc.constantFrom('\n', '\r\n'))
+			.map(([id, data, end]) => `id: ${id}${end}data: ${data}${end}${end}`);
+		fc.assert(fc.property(fc.array(event, {minLength: 1, maxLength: 8}), fc.array(fc.nat(400), {maxLength: 6}), (events, offsets) => {
+			const whole = Buffer.from(events.join(''));
+			const splitter = createEventSplitter();
+			const output: Buffer[] = [];
+			let at = 0;
+			for (const cut of [...offsets, whole.length].map(cut => Math.min(cut, whole.length)).toSorted((a, b) => a - b)) {
+				const completed = splitter.push(whole.subarray(at, cut));
+				at = cut;
+				if (completed !== undefined) {
+					output.push(completed.bytes);
+					assert.match(completed.bytes.toString(), /\n\r?\n$/v);
+				}
+			}
+
+			assert.equal(Buffer.concat(output).toString(), whole.toString());
+			assert.lengthOf(splitter.remainder(), 0);
+		}), {seed: 42});
+	});
+
+	it('returns the id of the last complete event and retains the incomplete one', () => {
+		const splitter = createEventSplitter();
+		assert.equal(splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda'))?.lastId, '2');
+		assert.equal(splitter.remainder().toString(), 'id: 3\nda');
+	});
+});
