--- a/packages/router/src/fairness.ts
+++ b/packages/router/src/fairness.ts
@@ -1,2 +1,2 @@
-/** Whose request goes next when a service is busy. */
+/** Fair queueing of requests to a busy service. */
 export * from './lib/fairness/fair-queue.js';
--- a/packages/router/src/lib/fairness/fair-queue.ts
+++ b/packages/router/src/lib/fairness/fair-queue.ts
@@ -1,47 +1,46 @@
 /**
- * Decides whose request goes next when a service is busy: start-time fair
- * queueing by tokens, so that a workspace that sends several times its share
- * waits behind its own requests and not in front of others'.
+ * Start-time fair queueing in front of one service, by tokens: a workspace that sends several
+ * times its share waits behind its own requests and doesn't delay others'.
  */
 
 /** Options of {@link createFairQueue}. */
 export type FairQueueOptions = {
-	/** How many requests may be under way now; asked again each time one could start. */
+	/** Number of requests that may run at once; called whenever one could start. */
 	limit: () => number;
 	/**
-	 * Part of the limit that is kept for workspaces which run less than their
-	 * even part; 0.25 by default. Without it a workspace that floods holds every
-	 * turn, and each request of another waits for one of its long ones to end.
+	 * Fraction of the limit reserved for workspaces that run less than their even share; 0.25 by
+	 * default. Without it a workspace that floods the queue would hold every slot, and each
+	 * request of another would wait for one of its long requests to end.
 	 */
 	reservedShare?: number;
-	/** Most requests of one workspace that wait. */
+	/** Maximum number of waiting requests of one workspace. */
 	mostWaitingPerWorkspace: number;
-	/** Most requests that wait in all. */
+	/** Maximum number of waiting requests in all. */
 	mostWaiting: number;
 };
 
-/** One request that asks for its turn. */
+/** A request that enters the queue. */
 export type QueueEntry = {
 	workspace: string;
 	/** Share relative to other workspaces. */
 	weight: number;
-	/** Tokens that the request is expected to take. */
+	/** Expected cost in tokens. */
 	cost: number;
-	/** Milliseconds that it may wait. */
+	/** Maximum wait in milliseconds. */
 	longestWaitMs: number;
-	/** Takes it out of the queue when the caller goes away. */
+	/** Removes the request from the queue when its caller disconnects. */
 	signal: AbortSignal;
 };
 
-/** A turn. */
+/** The slot of a running request. */
 export type QueueTicket = {
-	/** 0 for a workspace with little under way, growing with what it has. */
+	/** 0 for a workspace with few outstanding tokens, higher with more. */
 	priority: number;
-	/** Gives the turn back; `cost` is what the request really took. */
+	/** Frees the slot; `cost` is the actual cost in tokens. */
 	release: (cost: number) => void;
 };
 
-/** What came of asking for a turn. */
+/** Outcome of entering the queue. */
 export type QueueResult
 	= | {granted: true; ticket: QueueTicket}
 		| {granted: false; reason: 'full' | 'late' | 'gone'; retryAfterMs: number};
@@ -49,43 +48,44 @@
 /** A queue in front of one service. */
 export type FairQueue = {
 	enter: (entry: QueueEntry) => Promise<QueueResult>;
-	/** Lets waiting requests start after the limit may have risen. */
-	poke: () => void;
+	/** Starts waiting requests after the limit may have risen. */
+	startWaiting: () => void;
 	readonly running: number;
 	readonly waiting: number;
 };
 
 type Waiter = {
 	entry: QueueEntry;
-	start: number;
-	finish: number;
+	startTag: number;
+	finishTag: number;
 	settle: (result: QueueResult) => void;
 };
 
-type Line = {
+/** Requests of one workspace. */
+type Flow = {
 	waiters: Waiter[];
-	lastFinish: number;
+	lastFinishTag: number;
 	running: number;
-	/** Tokens that wait or run, own weight taken out. */
+	/** Tokens of waiting and running requests, divided by their weights. */
 	outstanding: number;
 };
 
-/** Milliseconds that a first guess of one request's service time takes. */
-const firstServiceMs = 500;
+/** Initial estimate of a request's service time. */
+const initialServiceMs = 500;
 const serviceSmoothing = 0.1;
 const defaultReservedShare = 0.25;
-/** Tokens under way up to which a workspace has the best priority; each step doubles them. */
-const tokensOfBestPriority = 8192;
+/** Outstanding tokens up to which a workspace has the best priority; it falls by {@link stepsPerDoubling} steps each time they double. */
+const maxBestPriorityTokens = 8192;
 const stepsPerDoubling = 2;
 const lowestPriority = 9;
 
 /**
- * Engines compute prompts in the order of their priority, so what a workspace
- * has under way must count: with equal priorities a short prompt would wait in
- * the engine behind the long ones of another workspace, past every queue here.
+ * Engines compute prompts in the order of their priority, so it depends on a workspace's
+ * outstanding tokens. With equal priorities a short prompt, once past this queue, would wait in
+ * the engine behind the long prompts of another workspace.
  */
-function priorityOf(line: Line): number {
-	const steps = Math.floor(stepsPerDoubling * Math.log2(Math.max(1, line.outstanding / tokensOfBestPriority)));
+function priorityOf(flow: Flow): number {
+	const steps = Math.floor(stepsPerDoubling * Math.log2(Math.max(1, flow.outstanding / maxBestPriorityTokens)));
 	return Math.min(lowestPriority, steps);
 }
 
@@ -96,46 +96,46 @@
  * const queue = createFairQueue({limit: () => 16, mostWaitingPerWorkspace: 200, mostWaiting: 2000});
  */
 export function createFairQueue(options: FairQueueOptions): FairQueue {
-	const lines = new Map<string, Line>();
+	const flows = new Map<string, Flow>();
 	let virtualTime = 0;
 	let running = 0;
 	let waiting = 0;
-	let serviceMs = firstServiceMs;
+	let serviceMs = initialServiceMs;
 	const reservedShare = options.reservedShare ?? defaultReservedShare;
 
-	const lineOf = (workspace: string) => {
-		let line = lines.get(workspace);
-		if (line === undefined) {
-			line = {
-				waiters: [], lastFinish: 0, running: 0, outstanding: 0,
+	const flowOf = (workspace: string) => {
+		let flow = flows.get(workspace);
+		if (flow === undefined) {
+			flow = {
+				waiters: [], lastFinishTag: 0, running: 0, outstanding: 0,
 			};
-			lines.set(workspace, line);
+			flows.set(workspace, flow);
 		}
 
-		return line;
+		return flow;
 	};
 
-	/** A line that neither waits, runs nor is ahead says no more than an absent one. */
-	const forget = (workspace: string, line: Line) => {
-		if (line.waiters.length === 0 && line.running === 0 && line.lastFinish <= virtualTime) {
-			lines.delete(workspace);
+	/** A flow with no requests and no lead in virtual time is equivalent to an absent one. */
+	const removeIdle = (workspace: string, flow: Flow) => {
+		if (flow.waiters.length === 0 && flow.running === 0 && flow.lastFinishTag <= virtualTime) {
+			flows.delete(workspace);
 		}
 	};
 
-	const waitEstimate = (ahead: number) => ((ahead + 1) * serviceMs) / Math.max(1, options.limit());
+	const estimateWaitMs = (ahead: number) => ((ahead + 1) * serviceMs) / Math.max(1, options.limit());
 
 	const grant = (waiter: Waiter) => {
 		const {entry} = waiter;
-		const line = lineOf(entry.workspace);
-		virtualTime = Math.max(virtualTime, waiter.start);
+		const flow = flowOf(entry.workspace);
+		virtualTime = Math.max(virtualTime, waiter.startTag);
 		running++;
-		line.running++;
+		flow.running++;
 		const startedAt = performance.now();
 		let released = false;
 		waiter.settle({
 			granted: true,
 			ticket: {
-				priority: priorityOf(line),
+				priority: priorityOf(flow),
 				release(cost) {
 					if (released) {
 						return;
@@ -143,35 +143,35 @@
 
 					released = true;
 					running--;
-					line.running--;
-					line.outstanding -= entry.cost / entry.weight;
-					line.lastFinish += (cost - entry.cost) / entry.weight;
+					flow.running--;
+					flow.outstanding -= entry.cost / entry.weight;
+					flow.lastFinishTag += (cost - entry.cost) / entry.weight;
 					serviceMs += serviceSmoothing * (performance.now() - startedAt - serviceMs);
 					startNext();
-					forget(entry.workspace, line);
+					removeIdle(entry.workspace, flow);
 				},
 			},
 		});
 	};
 
-	/** Turns that are free to a workspace which runs so many now. */
-	const roomFor = (ownRunning: number) => {
+	/** Free slots for a workspace that runs `runningInFlow` requests. */
+	const freeSlotsFor = (runningInFlow: number) => {
 		const limit = options.limit();
-		// A workspace alone must not take what is kept either: another may come at any moment.
-		const evenPart = Math.max(1, Math.floor(limit / Math.max(2, lines.size)));
-		const reserved = ownRunning < evenPart ? 0 : Math.floor(limit * reservedShare);
+		// Even a lone workspace leaves the reserved slots free: another may arrive at any moment.
+		const evenShare = Math.max(1, Math.floor(limit / Math.max(2, flows.size)));
+		const reserved = runningInFlow < evenShare ? 0 : Math.floor(limit * reservedShare);
 		return limit - reserved - running;
 	};
 
-	const nextLine = () => {
-		let best: Line | undefined;
-		for (const line of lines.values()) {
-			if (line.waiters.length === 0 || roomFor(line.running) <= 0) {
+	const nextFlow = () => {
+		let best: Flow | undefined;
+		for (const flow of flows.values()) {
+			if (flow.waiters.length === 0 || freeSlotsFor(flow.running) <= 0) {
 				continue;
 			}
 
-			if (best === undefined || line.waiters[0].start < best.waiters[0].start) {
-				best = line;
+			if (best === undefined || flow.waiters[0].startTag < best.waiters[0].startTag) {
+				best = flow;
 			}
 		}
 
@@ -180,7 +180,7 @@
 
 	const startNext = () => {
 		for (;;) {
-			const waiter = nextLine()?.waiters.shift();
+			const waiter = nextFlow()?.waiters.shift();
 			if (waiter === undefined) {
 				return;
 			}
@@ -190,87 +190,86 @@
 		}
 	};
 
-	const leave = (waiter: Waiter, reason: 'late' | 'gone') => {
-		const line = lineOf(waiter.entry.workspace);
-		const at = line.waiters.indexOf(waiter);
-		if (at === -1) {
+	const removeWaiter = (waiter: Waiter, reason: 'late' | 'gone') => {
+		const flow = flowOf(waiter.entry.workspace);
+		const index = flow.waiters.indexOf(waiter);
+		if (index === -1) {
 			return;
 		}
 
-		line.waiters.splice(at, 1);
+		flow.waiters.splice(index, 1);
 		waiting--;
-		line.outstanding -= waiter.entry.cost / waiter.entry.weight;
-		line.lastFinish -= waiter.entry.cost / waiter.entry.weight;
-		waiter.settle({granted: false, reason, retryAfterMs: waitEstimate(waiting)});
-		forget(waiter.entry.workspace, line);
+		flow.outstanding -= waiter.entry.cost / waiter.entry.weight;
+		flow.lastFinishTag -= waiter.entry.cost / waiter.entry.weight;
+		waiter.settle({granted: false, reason, retryAfterMs: estimateWaitMs(waiting)});
+		removeIdle(waiter.entry.workspace, flow);
 	};
 
-	/** Requests that go before one more of this workspace, if all lines keep busy. */
-	const aheadOf = (line: Line) => {
-		const inTurn = (line.waiters.length + 1) * Math.max(1, countBusyLines());
+	/** Requests that start before one more of this workspace if all flows stay backlogged. */
+	const countAhead = (flow: Flow) => {
+		const inTurn = (flow.waiters.length + 1) * Math.max(1, countBackloggedFlows());
 		return Math.min(waiting, inTurn - 1);
 	};
 
-	const countBusyLines = () => {
+	const countBackloggedFlows = () => {
 		let count = 0;
-		for (const line of lines.values()) {
-			count += line.waiters.length > 0 ? 1 : 0;
+		for (const flow of flows.values()) {
+			count += flow.waiters.length > 0 ? 1 : 0;
 		}
 
 		return count;
 	};
 
 	async function enter(entry: QueueEntry): Promise<QueueResult> {
-		const line = lineOf(entry.workspace);
-		if (roomFor(line.running) <= 0) {
-			const retryAfterMs = waitEstimate(aheadOf(line));
-			if (line.waiters.length >= options.mostWaitingPerWorkspace || waiting >= options.mostWaiting) {
+		const flow = flowOf(entry.workspace);
+		if (freeSlotsFor(flow.running) <= 0) {
+			const retryAfterMs = estimateWaitMs(countAhead(flow));
+			if (flow.waiters.length >= options.mostWaitingPerWorkspace || waiting >= options.mostWaiting) {
 				return {granted: false, reason: 'full', retryAfterMs};
 			}
 
-			// Shed at once what would be late anyway: waiting first and failing
-			// then would cost the caller the time to go elsewhere.
+			// Reject at once what would be late: after a wait, the caller has less time to try elsewhere.
 			if (retryAfterMs > entry.longestWaitMs) {
 				return {granted: false, reason: 'late', retryAfterMs};
 			}
 		}
 
-		const start = Math.max(virtualTime, line.lastFinish);
-		const finish = start + (entry.cost / entry.weight);
-		line.lastFinish = finish;
-		line.outstanding += entry.cost / entry.weight;
+		const startTag = Math.max(virtualTime, flow.lastFinishTag);
+		const finishTag = startTag + (entry.cost / entry.weight);
+		flow.lastFinishTag = finishTag;
+		flow.outstanding += entry.cost / entry.weight;
 		return new Promise(resolve => {
 			const waiter: Waiter = {
-				entry, start, finish, settle: resolve,
+				entry, startTag, finishTag, settle: resolve,
 			};
-			watch(waiter);
-			line.waiters.push(waiter);
+			limitWait(waiter);
+			flow.waiters.push(waiter);
 			waiting++;
 			startNext();
 		});
 	}
 
-	/** Answers the waiter at the moment it is given up, never later. */
-	function watch(waiter: Waiter): void {
+	/** Removes the waiter, and settles its result, as soon as its time is over or its caller disconnects. */
+	function limitWait(waiter: Waiter): void {
 		const {entry, settle} = waiter;
 		const timer = setTimeout(() => {
-			leave(waiter, 'late');
+			removeWaiter(waiter, 'late');
 		}, entry.longestWaitMs);
-		const gone = () => {
-			leave(waiter, 'gone');
+		const onAbort = () => {
+			removeWaiter(waiter, 'gone');
 		};
 
-		entry.signal.addEventListener('abort', gone, {once: true});
+		entry.signal.addEventListener('abort', onAbort, {once: true});
 		waiter.settle = result => {
 			clearTimeout(timer);
-			entry.signal.removeEventListener('abort', gone);
+			entry.signal.removeEventListener('abort', onAbort);
 			settle(result);
 		};
 	}
 
 	return {
 		enter,
-		poke: startNext,
+		startWaiting: startNext,
 		get running() {
 			return running;
 		},
--- a/packages/router/src/lib/quarantine/connection-check.ts
+++ b/packages/router/src/lib/quarantine/connection-check.ts
@@ -1,7 +1,7 @@
-/** Asks whether anything listens at an address. */
+/** Checks whether anything listens at an address. */
 import {connect} from 'node:net';
 
-/** Whether the address refuses a connection; false if it accepts one, or nothing comes within the limit. */
+/** Whether the address refuses connections; false if it accepts one, or doesn't answer within the limit. */
 export async function refusesConnections(address: string, limitMs: number): Promise<boolean> {
 	const {hostname, port} = new URL(`tcp://${address}`);
 	return new Promise(resolve => {
--- a/packages/router/src/lib/quarantine/crash-evidence.ts
+++ b/packages/router/src/lib/quarantine/crash-evidence.ts
@@ -1,24 +1,24 @@
 /**
- * Decides from crashes of endpoints which request caused them.
+ * Determines which request caused crashes of endpoints.
  *
- * Each request that was in flight at a crash is a suspect. A cause is present at crash after
- * crash and never gets past the position at which it crashed before; the others on the same
- * endpoint change. Once a cause is found, its crashes count against the others only beside a
- * further crash that it doesn't explain.
+ * Each request that was in flight at a crash is a suspect. A cause is in flight at repeated
+ * crashes and never gets past the position of its earlier ones, while the other requests on the
+ * endpoints change. Once a cause is found, its crashes count against other requests only together
+ * with a further crash that it doesn't explain.
  */
 import {LRUCache} from 'lru-cache';
 
 /** A request that was in flight on an endpoint when it crashed. */
 export type Suspect = {
 	digest: string;
-	/** Id of the last stream event that the caller has; empty if there is none. */
+	/** Id of the last stream event that the caller received; empty if there is none. */
 	position: string;
 };
 
-/** Crash of one process of an endpoint, as one daemon saw it. */
+/** Crash of one process of an endpoint, as one daemon observed it. */
 export type ObservedCrash = {
 	endpoint: string;
-	/** Unix milliseconds at which the process had started; tells processes under one id apart. */
+	/** Start of the process in Unix milliseconds; distinguishes processes with the same id. */
 	startedAt: number;
 	/** Milliseconds since the crash. */
 	ageMs: number;
@@ -30,7 +30,7 @@
 	endpoint: string;
 	/** Milliseconds since the crash. */
 	ageMs: number;
-	/** Daemons that saw the request there. */
+	/** Daemons that observed the request there. */
 	observers: readonly string[];
 };
 
@@ -39,41 +39,41 @@
 
 /** Options of {@link createCrashEvidence}. */
 export type CrashEvidenceOptions = {
-	/** Whether a request is refused already; crashes at which it was present count against no other. */
+	/** Whether a request is already refused; crashes at which it was in flight count against no other. */
 	isKnownCause?: (digest: string) => boolean;
-	/** Crashes after which a request counts as their cause. Default 3. */
+	/** Number of crashes after which a request counts as their cause. Default 3. */
 	crashThreshold?: number;
-	/** Age in milliseconds from which a crash no longer counts. Default 600,000. */
+	/** Age in milliseconds beyond which a crash no longer counts. Default 600,000. */
 	maxAgeMs?: number;
-	/** Crashes that are remembered; the oldest are forgotten first. Default 256. */
+	/** Maximum number of stored crashes; the oldest are evicted first. Default 256. */
 	maxCrashes?: number;
-	/** Suspects that are remembered for each crash; further ones are ignored. Default 128. */
+	/** Maximum number of stored suspects per crash; further ones are ignored. Default 128. */
 	maxSuspects?: number;
-	/** Milliseconds for which a request that ran to its end counts as completed. Default 60,000. */
+	/** Milliseconds for which a completed request is no suspect. Default 60,000. */
 	completedMs?: number;
-	/** Requests that are remembered as completed; those that ran longest ago are forgotten first. Default 4,096. */
+	/** Maximum number of stored completed requests; the oldest are evicted first. Default 4,096. */
 	maxCompleted?: number;
 };
 
-/** What an observation changed. */
+/** Result of an observation. */
 export type EvidenceChange = {
-	/** Suspects that were found to be the cause of crashes. */
+	/** Suspects found to be causes of crashes. */
 	causes: readonly CrashCause[];
-	/** Suspects that ran to their end of late and are left out. */
+	/** Suspects that are ignored since they completed recently. */
 	completed: readonly string[];
 };
 
-/** The evidence. */
+/** Observed crashes and their suspects. */
 export type CrashEvidence = {
-	/** Adds what a daemon saw; observations of the same crash are merged. */
+	/** Adds a daemon's observation; observations of the same crash are merged. */
 	add: (observer: string, crash: ObservedCrash) => EvidenceChange;
-	/** A request ran to its end, so it doesn't crash endpoints. Returns the number of crashes that counted against it. */
+	/** Clears a request that completed, so it doesn't crash endpoints. Returns the number of crashes that counted against it. */
 	markCompleted: (digest: string) => number;
-	/** Whether the request ran to its end of late. */
-	completedLately: (digest: string) => boolean;
+	/** Whether the request completed recently. */
+	completedRecently: (digest: string) => boolean;
 	/** Number of crashes that count against a request. */
-	crashesOf: (digest: string) => number;
-	/** Attributes the crashes of a request that another daemon found to be their cause. */
+	countCrashes: (digest: string) => number;
+	/** Attributes crashes to a request that another daemon found to be their cause. */
 	attribute: (digest: string) => void;
 };
 
@@ -92,19 +92,19 @@
 const defaultCompletedMs = 60_000;
 const defaultMaxCompleted = 4096;
 
-/** Crashes closer than this share a cause outside the endpoints and count once. */
+/** Crashes closer together than this have a common cause outside the endpoints and count once. */
 const commonCauseMs = 50;
 
-/** Crashes without those that came at the same moment as another. */
+/** Returns one crash of each group that happened at the same moment. */
 function withoutCommonCause(crashes: readonly Crash[]): Crash[] {
-	const apart: Crash[] = [];
+	const distinct: Crash[] = [];
 	for (const crash of crashes.toSorted((a, b) => a.at - b.at)) {
-		if (apart.length === 0 || crash.at - apart.at(-1)!.at > commonCauseMs) {
-			apart.push(crash);
+		if (distinct.length === 0 || crash.at - distinct.at(-1)!.at > commonCauseMs) {
+			distinct.push(crash);
 		}
 	}
 
-	return apart;
+	return distinct;
 }
 
 /** Creates empty evidence. */
@@ -115,12 +115,12 @@
 	const crashes = new LRUCache<string, Crash>({max: options.maxCrashes ?? defaultMaxCrashes});
 	const completed = new LRUCache<string, number>({max: options.maxCompleted ?? defaultMaxCompleted});
 
-	const completedLately = (digest: string): boolean => {
+	const completedRecently = (digest: string): boolean => {
 		const at = completed.get(digest);
 		return at !== undefined && performance.now() - at <= completedMs;
 	};
 
-	/** Crashes that count against a request: those at the position where it was present most often. */
+	/** Crashes that count against a request: those at the position where most of them occurred. */
 	const crashesAgainst = (digest: string): Crash[] => {
 		const now = performance.now();
 		const byPosition = new Map<string, Crash[]>();
@@ -135,11 +135,11 @@
 
 		let most: Crash[] = [];
 		for (const found of byPosition.values()) {
-			const apart = withoutCommonCause(found);
-			// If endpoints still crash once a cause is refused, its crashes may have had another one.
-			const isUnexplained = apart.some(({cause}) => cause === undefined);
-			if (isUnexplained && apart.length > most.length) {
-				most = apart;
+			const distinct = withoutCommonCause(found);
+			// If endpoints keep crashing after a cause is refused, its crashes may have had another cause.
+			const isUnexplained = distinct.some(({cause}) => cause === undefined);
+			if (isUnexplained && distinct.length > most.length) {
+				most = distinct;
 			}
 		}
 
@@ -154,23 +154,23 @@
 		}
 	};
 
-	/** Those of the requests with the most crashes, if these are enough. */
-	const findWorst = (digests: readonly string[]): Array<{digest: string; counting: Crash[]}> => {
+	/** Requests with the most crashes, if these reach the threshold. */
+	const findLikeliest = (digests: readonly string[]): Array<{digest: string; counting: Crash[]}> => {
 		let most = crashThreshold;
-		let worst: Array<{digest: string; counting: Crash[]}> = [];
+		let likeliest: Array<{digest: string; counting: Crash[]}> = [];
 		for (const digest of digests) {
 			const counting = crashesAgainst(digest);
 			if (counting.length > most) {
 				most = counting.length;
-				worst = [];
+				likeliest = [];
 			}
 
 			if (counting.length === most) {
-				worst.push({digest, counting});
+				likeliest.push({digest, counting});
 			}
 		}
 
-		return worst;
+		return likeliest;
 	};
 
 	const describe = (digest: string, counting: readonly Crash[]): CrashCause => ({
@@ -182,17 +182,17 @@
 		})),
 	});
 
-	/** Finds the worst first, since its crashes alone don't count against the others. */
+	/** Starts with the likeliest cause, since its crashes alone don't count against other requests. */
 	const findCauses = (digests: readonly string[]): CrashCause[] => {
 		const causes: CrashCause[] = [];
 		for (;;) {
-			const worst = findWorst(digests);
-			if (worst.length === 0) {
+			const likeliest = findLikeliest(digests);
+			if (likeliest.length === 0) {
 				return causes;
 			}
 
-			causes.push(...worst.map(({digest, counting}) => describe(digest, counting)));
-			for (const {digest} of worst) {
+			causes.push(...likeliest.map(({digest, counting}) => describe(digest, counting)));
+			for (const {digest} of likeliest) {
 				attribute(digest);
 			}
 		}
@@ -230,17 +230,17 @@
 			};
 			crashes.set(key, crash);
 			const added: string[] = [];
-			const left: string[] = [];
+			const alreadyCompleted: string[] = [];
 			for (const suspect of suspects) {
-				if (completedLately(suspect.digest)) {
-					left.push(suspect.digest);
+				if (completedRecently(suspect.digest)) {
+					alreadyCompleted.push(suspect.digest);
 				} else {
 					addSuspect(crash, observer, suspect);
 					added.push(suspect.digest);
 				}
 			}
 
-			return {causes: findCauses(added), completed: left};
+			return {causes: findCauses(added), completed: alreadyCompleted};
 		},
 		markCompleted(digest) {
 			completed.set(digest, performance.now());
@@ -254,8 +254,8 @@
 
 			return counted;
 		},
-		completedLately,
-		crashesOf: digest => crashesAgainst(digest).length,
+		completedRecently,
+		countCrashes: digest => crashesAgainst(digest).length,
 		attribute,
 	};
 }
--- a/packages/router/src/lib/quarantine/crash-watch.ts
+++ b/packages/router/src/lib/quarantine/crash-watch.ts
@@ -1,75 +1,75 @@
 /**
- * Tells crashes of endpoints from broken connections: a process that has ended refuses
- * connections, or another one has taken its place in the list or at its address.
+ * Distinguishes crashes of endpoints from mere connection failures: a process that has ended
+ * refuses connections, or another one has replaced it in the list or at its address.
  */
 import {LRUCache} from 'lru-cache';
 import {type LiveEndpoint} from '../fleet/live-endpoint.js';
 import {type ObservedCrash, type Suspect} from './crash-evidence.js';
 
-/** What is known of an endpoint's process beyond its connections; `leaving` if its end was announced. */
+/** State of an endpoint's process apart from its connections; `leaving` if its end was announced. */
 export type ProcessState = 'listed' | 'leaving' | 'ended';
 
 /** Options of {@link createCrashWatch}. */
 export type CrashWatchOptions = {
-	/** Whether the address refuses connections; false also if that can't be told. */
+	/** Whether the address refuses connections; also false if that can't be determined. */
 	refusesConnections: (address: string) => Promise<boolean>;
 	stateOf: (endpoint: LiveEndpoint) => ProcessState;
 	onCrash: (crash: ObservedCrash) => void;
 };
 
-/** The watch. */
+/** Detects crashes of endpoints. */
 export type CrashWatch = {
-	/** The connection that carried a request broke off. */
+	/** Records that the connection which carried a request broke. */
 	brokeOff: (endpoint: LiveEndpoint, suspect: Suspect) => void;
 };
 
-/** Time in which the connections of one process break off. */
-const gatherMs = 10;
+/** Time within which all connections of an ended process break. */
+const groupingMs = 10;
 
-/** Pauses between looks for the end of a process that still accepts connections. */
-const lookAgainMs = [100, 400, 1000, 3000];
+/** Delays between checks whether a process that still accepts connections has ended. */
+const recheckDelaysMs = [100, 400, 1000, 3000];
 
-/** Crashes that are remembered for connections that are found broken late. */
+/** Number of stored crashes, for connections that are found broken later. */
 const maxCrashes = 64;
 
-type Breaks = {endpoint: LiveEndpoint; at: number; suspects: Suspect[]};
+type BrokenConnections = {endpoint: LiveEndpoint; at: number; suspects: Suspect[]};
 
 const keyOf = ({id, startedAt}: LiveEndpoint): string => `${id} ${startedAt}`;
 
-/** Creates a watch. */
+/** Creates a crash watch. */
 export function createCrashWatch({refusesConnections, stateOf, onCrash}: CrashWatchOptions): CrashWatch {
-	const gathering = new Map<string, Breaks>();
+	const pending = new Map<string, BrokenConnections>();
 	const crashed = new LRUCache<string, true>({max: maxCrashes});
 
-	const report = ({endpoint, at, suspects}: Breaks): void => {
+	const report = ({endpoint, at, suspects}: BrokenConnections): void => {
 		crashed.set(keyOf(endpoint), true);
 		onCrash({
 			endpoint: endpoint.id, startedAt: endpoint.startedAt, ageMs: performance.now() - at, suspects,
 		});
 	};
 
-	const lookAgain = (breaks: Breaks, look: number): void => {
-		if (look === lookAgainMs.length) {
+	const scheduleRecheck = (broken: BrokenConnections, recheck: number): void => {
+		if (recheck === recheckDelaysMs.length) {
 			return;
 		}
 
 		setTimeout(() => {
-			const state = stateOf(breaks.endpoint);
+			const state = stateOf(broken.endpoint);
 			if (state === 'ended') {
-				report(breaks);
+				report(broken);
 			} else if (state === 'listed') {
-				lookAgain(breaks, look + 1);
+				scheduleRecheck(broken, recheck + 1);
 			}
-		}, lookAgainMs[look]).unref();
+		}, recheckDelaysMs[recheck]).unref();
 	};
 
-	const conclude = async (breaks: Breaks): Promise<void> => {
-		const {endpoint} = breaks;
-		gathering.delete(keyOf(endpoint));
+	const checkProcess = async (broken: BrokenConnections): Promise<void> => {
+		const {endpoint} = broken;
+		pending.delete(keyOf(endpoint));
 		if (crashed.has(keyOf(endpoint)) || stateOf(endpoint) === 'ended' || await refusesConnections(endpoint.address)) {
-			report(breaks);
+			report(broken);
 		} else {
-			lookAgain(breaks, 0);
+			scheduleRecheck(broken, 0);
 		}
 	};
 
@@ -80,17 +80,17 @@
 				return;
 			}
 
-			const known = gathering.get(key);
+			const known = pending.get(key);
 			if (known !== undefined) {
 				known.suspects.push(suspect);
 				return;
 			}
 
-			const breaks: Breaks = {endpoint, at: performance.now(), suspects: [suspect]};
-			gathering.set(key, breaks);
+			const broken: BrokenConnections = {endpoint, at: performance.now(), suspects: [suspect]};
+			pending.set(key, broken);
 			setTimeout(() => {
-				void conclude(breaks);
-			}, gatherMs);
+				void checkProcess(broken);
+			}, groupingMs);
 		},
 	};
 }
--- a/packages/router/src/lib/quarantine/quarantine.ts
+++ b/packages/router/src/lib/quarantine/quarantine.ts
@@ -1,33 +1,33 @@
 /**
- * Refuses requests that crash the endpoints that run them, on all daemons alike.
+ * Refuses requests that crash the endpoints they run on, consistently on all daemons.
  *
- * Refusals end after a time, since endpoints and weights are replaced. Then one daemon claims
- * the right to send the request once; with the claim the refusal is renewed for longer, and
- * only an answer to its end lifts it.
+ * A refusal lasts for a term, since endpoints and weights are replaced. Then one daemon claims
+ * the right to send the request once. The claim starts a new, longer term, and only a complete
+ * response lifts the refusal.
  */
 import {LRUCache} from 'lru-cache';
 import {type Log} from '../observability/log.js';
 import {
 	type CrashCause, type CrashEvidenceOptions, createCrashEvidence, type ObservedCrash,
 } from './crash-evidence.js';
-import {type QuarantineNews} from './quarantine-news.js';
+import {type QuarantineReport} from './quarantine-news.js';
 
-/** How a request is to be treated. `suspect` was in flight at a crash; `due` may be sent once by the daemon that claims it. */
+/** How a request is to be treated. `suspect`: was in flight at a crash; `due`: may be sent once by the daemon that claims it. */
 export type Standing = 'clear' | 'suspect' | 'refused' | 'due';
 
-/** A refusal as it is kept outside this process. */
+/** A refusal as stored outside this process. */
 export type Refusal = {
 	digest: string;
-	/** Number of times it was refused anew; grows. */
+	/** Number of the term, from 1; incremented whenever the request is refused anew. */
 	term: number;
-	/** Milliseconds until it is due. */
+	/** Milliseconds until the term ends. */
 	msLeft: number;
 };
 
-/** Keeps refusals for daemons that have lost theirs, and grants claims. */
+/** Stores refusals for daemons that have lost theirs, and grants claims. */
 export type RefusalStore = {
 	save: (refusal: Refusal) => void;
-	/** Whether this refusal took the place of the one of the term before. */
+	/** Resolves to whether this refusal replaced that of the previous term. */
 	claim: (refusal: Refusal) => Promise<boolean>;
 	remove: (digest: string) => void;
 };
@@ -40,38 +40,38 @@
 	evidence?: Omit<CrashEvidenceOptions, 'isKnownCause'>;
 	/** Length of the first term in milliseconds; each further one is twice as long. Default 300,000. */
 	firstTermMs?: number;
-	/** Default 3,600,000. */
+	/** Maximum length of a term in milliseconds. Default 3,600,000. */
 	maxTermMs?: number;
-	/** Refusals that are remembered; those used longest ago are forgotten first. Default 1,024. */
+	/** Maximum number of refusals; the least recently used are evicted first. Default 1,024. */
 	maxRefusals?: number;
-	/** Called when peers must be told. */
+	/** Called when peers must get a new report soon. */
 	onNews: () => void;
 	log: Log;
 };
 
-/** The quarantine. */
+/** Refusals of requests that crash endpoints. */
 export type Quarantine = {
 	standingOf: (digest: string) => Standing;
-	/** Claims the right to send a request that is due; never rejects. */
+	/** Claims the right to send a due request once; never rejects. */
 	claim: (digest: string) => Promise<boolean>;
-	/** An endpoint crashed, as this daemon saw it. */
+	/** Records a crash that this daemon observed. */
 	crashed: (crash: ObservedCrash) => void;
-	/** A request ran to its end. */
+	/** Records that a request completed. */
 	ran: (digest: string) => void;
-	/** A peer's news. */
-	heard: (peer: string, news: QuarantineNews) => void;
-	/** Refusals from the store. */
+	/** Processes a peer's report. */
+	heard: (peer: string, report: QuarantineReport) => void;
+	/** Merges refusals from the store. */
 	restore: (refusals: readonly Refusal[]) => void;
-	/** This daemon's news. */
-	report: () => QuarantineNews;
-	/** Called with the digest of each request that comes to be refused. */
+	/** This daemon's report. */
+	report: () => QuarantineReport;
+	/** Adds a listener that is called with the digest of each request that becomes refused. */
 	onRefused: (listener: (digest: string) => void) => void;
 };
 
 type Entry = {
 	term: number;
 	dueAt: number;
-	/** The request is taken again; kept for a while against late news. */
+	/** The request is accepted again; the entry stays for a while against delayed reports of the refusal. */
 	isLifted: boolean;
 	changedAt: number;
 };
@@ -80,17 +80,17 @@
 const defaultMaxTermMs = 3_600_000;
 const defaultMaxRefusals = 1024;
 
-/** Time for which crashes and innocence are reported. */
-const newsMs = 3000;
-/** Time for which a refusal is reported after it was lifted or has come due. */
-const endedNewsMs = 60_000;
+/** Time for which crashes and completed requests are reported. */
+const reportMs = 3000;
+/** Time for which a refusal is reported after it was lifted or its term has ended. */
+const endedReportMs = 60_000;
 
-/** Bounds on one report. */
+/** Limits of one report. */
 const maxReportedSuspects = 64;
 const maxReportedCompleted = 64;
 const maxReportedRefusals = 16;
 
-/** Bounds on this daemon's own news. */
+/** Maximum number of this daemon's own crashes in one report. */
 const maxOwnCrashes = 32;
 
 /** Creates an empty quarantine. */
@@ -103,7 +103,7 @@
 		max: options.maxRefusals ?? defaultMaxRefusals,
 		dispose(entry, digest, reason) {
 			if (reason === 'evict') {
-				log.warn('Refusal is forgotten, since there are too many.', {digest, attempt: entry.term});
+				log.warn('Refusal evicted, since there are too many.', {digest, attempt: entry.term});
 			}
 		},
 	});
@@ -111,14 +111,14 @@
 		...options.evidence,
 		isKnownCause: digest => entries.peek(digest)?.isLifted === false,
 	});
-	/** By digest, `performance.now()`. */
+	/** Time of completion by digest; `performance.now()`. */
 	const completed = new LRUCache<string, number>({max: maxReportedCompleted});
-	let crashes: Array<{crash: ObservedCrash; at: number}> = [];
+	let ownCrashes: Array<{crash: ObservedCrash; at: number}> = [];
 
 	const termMs = (term: number): number => Math.min(maxTermMs, firstTermMs * (2 ** (term - 1)));
 
-	/** Takes over an entry, if it is newer than what is known; returns whether it was. */
-	const adopt = (digest: string, {term, msLeft, isLifted}: Omit<Refusal, 'digest'> & {isLifted: boolean}): boolean => {
+	/** Merges a refusal if it is newer than the known one; returns whether it was. */
+	const mergeRefusal = (digest: string, {term, msLeft, isLifted}: Omit<Refusal, 'digest'> & {isLifted: boolean}): boolean => {
 		const known = entries.get(digest);
 		if (known !== undefined && (known.term > term || (known.term === term && (known.isLifted || !isLifted)))) {
 			return false;
@@ -156,8 +156,8 @@
 		const {digest} = cause;
 		const term = (entries.get(digest)?.term ?? 0) + 1;
 		logCause(cause, term);
-		adopt(digest, {term, msLeft: termMs(term), isLifted: false});
-		// All daemons come to the same decision; those that saw the request tell the ones that missed a crash.
+		mergeRefusal(digest, {term, msLeft: termMs(term), isLifted: false});
+		// All daemons reach the same decision; those that observed the request report it to those that missed a crash.
 		if (cause.crashes.some(({observers}) => observers.includes(name))) {
 			store.save({digest, term, msLeft: termMs(term)});
 			onNews();
@@ -165,7 +165,7 @@
 	};
 
 	const lift = (digest: string, term: number): void => {
-		adopt(digest, {term, msLeft: 0, isLifted: true});
+		mergeRefusal(digest, {term, msLeft: 0, isLifted: true});
 		store.remove(digest);
 		onNews();
 	};
@@ -181,58 +181,58 @@
 		}
 	};
 
-	const hearRefused = (peer: string, [digest, term, msLeft, isLifted]: QuarantineNews['refused'][number]): void => {
-		if (!adopt(digest, {term, msLeft, isLifted})) {
+	const mergePeerRefusal = (peer: string, [digest, term, msLeft, isLifted]: QuarantineReport['refused'][number]): void => {
+		if (!mergeRefusal(digest, {term, msLeft, isLifted})) {
 			return;
 		}
 
-		log.info(isLifted ? 'Peer takes a refused request again.' : 'Peer refuses a request that crashes endpoints.', {
+		log.info(isLifted ? 'Peer lifts the refusal of a request.' : 'Peer refuses a request that crashes endpoints.', {
 			digest, peer, attempt: term, ms: msLeft,
 		});
-		if (!isLifted && evidence.completedLately(digest)) {
-			log.info('Refused request ran to its end and is taken again.', {digest, attempt: term});
+		if (!isLifted && evidence.completedRecently(digest)) {
+			log.info('Refused request completed, so its refusal is lifted.', {digest, attempt: term});
 			lift(digest, term);
 		}
 	};
 
-	const reportCrashes = (now: number): QuarantineNews['crashes'] => {
-		crashes = crashes.filter(({at}) => now - at <= newsMs).slice(-maxOwnCrashes);
-		const news: QuarantineNews['crashes'] = [];
+	const reportCrashes = (now: number): QuarantineReport['crashes'] => {
+		ownCrashes = ownCrashes.filter(({at}) => now - at <= reportMs).slice(-maxOwnCrashes);
+		const items: QuarantineReport['crashes'] = [];
 		let suspects = 0;
-		for (const {crash, at} of crashes.toReversed()) {
+		for (const {crash, at} of ownCrashes.toReversed()) {
 			suspects += crash.suspects.length;
 			if (suspects > maxReportedSuspects) {
 				break;
 			}
 
-			news.push([crash.endpoint, crash.startedAt, Math.round(now - at), crash.suspects.map(({digest, position}) => [digest, position])]);
+			items.push([crash.endpoint, crash.startedAt, Math.round(now - at), crash.suspects.map(({digest, position}) => [digest, position])]);
 		}
 
-		return news;
+		return items;
 	};
 
-	const reportRefused = (now: number): QuarantineNews['refused'] => {
-		const news: QuarantineNews['refused'] = [];
+	const reportRefused = (now: number): QuarantineReport['refused'] => {
+		const items: QuarantineReport['refused'] = [];
 		for (const [digest, {term, dueAt, isLifted, changedAt}] of entries.entries()) {
-			// Later on, whoever starts reads them from the store.
-			if (now - (isLifted ? changedAt : dueAt) > endedNewsMs) {
+			// Daemons that start later read refusals from the store.
+			if (now - (isLifted ? changedAt : dueAt) > endedReportMs) {
 				continue;
 			}
 
-			news.push([digest, term, Math.max(0, Math.round(dueAt - now)), isLifted]);
-			if (news.length === maxReportedRefusals) {
+			items.push([digest, term, Math.max(0, Math.round(dueAt - now)), isLifted]);
+			if (items.length === maxReportedRefusals) {
 				break;
 			}
 		}
 
-		return news;
+		return items;
 	};
 
 	return {
 		standingOf(digest) {
 			const entry = entries.get(digest);
 			if (entry === undefined || entry.isLifted) {
-				return evidence.crashesOf(digest) > 0 ? 'suspect' : 'clear';
+				return evidence.countCrashes(digest) > 0 ? 'suspect' : 'clear';
 			}
 
 			return performance.now() < entry.dueAt ? 'refused' : 'due';
@@ -242,7 +242,7 @@
 			const refusal: Refusal = {digest, term, msLeft: termMs(term)};
 			const isGranted = await store.claim(refusal);
 			if (isGranted) {
-				adopt(digest, {...refusal, isLifted: false});
+				mergeRefusal(digest, {...refusal, isLifted: false});
 				log.info('Refused request is sent once.', {digest, attempt: term});
 				onNews();
 			}
@@ -250,7 +250,7 @@
 			return isGranted;
 		},
 		crashed(crash) {
-			crashes.push({crash, at: performance.now() - crash.ageMs});
+			ownCrashes.push({crash, at: performance.now() - crash.ageMs});
 			log.warn('Endpoint crashed.', {endpoint: crash.endpoint, count: crash.suspects.length, ms: Math.round(crash.ageMs)});
 			addEvidence(name, crash);
 			onNews();
@@ -259,27 +259,27 @@
 			const counted = evidence.markCompleted(digest);
 			const entry = entries.get(digest);
 			if (entry !== undefined && !entry.isLifted) {
-				log.info('Refused request ran to its end and is taken again.', {digest, attempt: entry.term});
+				log.info('Refused request completed, so its refusal is lifted.', {digest, attempt: entry.term});
 				lift(digest, entry.term);
 			} else if (counted > 0) {
 				completed.set(digest, performance.now());
 			}
 
-			// After one more crash peers would refuse it; otherwise the usual rounds of news do.
+			// Peers would refuse it after one more crash; otherwise the regular rounds of reports suffice.
 			if (counted > 1) {
 				onNews();
 			}
 		},
-		heard(peer, news) {
-			for (const digest of news.completed) {
+		heard(peer, report) {
+			for (const digest of report.completed) {
 				evidence.markCompleted(digest);
 			}
 
-			for (const item of news.refused) {
-				hearRefused(peer, item);
+			for (const item of report.refused) {
+				mergePeerRefusal(peer, item);
 			}
 
-			for (const [endpoint, startedAt, ageMs, suspects] of news.crashes) {
+			for (const [endpoint, startedAt, ageMs, suspects] of report.crashes) {
 				addEvidence(peer, {
 					endpoint, startedAt, ageMs, suspects: suspects.map(([digest, position]) => ({digest, position})),
 				});
@@ -287,8 +287,8 @@
 		},
 		restore(refusals) {
 			for (const {digest, term, msLeft} of refusals) {
-				if (adopt(digest, {term, msLeft, isLifted: false})) {
-					log.info('Refusal is taken over from the store.', {digest, attempt: term, ms: Math.round(msLeft)});
+				if (mergeRefusal(digest, {term, msLeft, isLifted: false})) {
+					log.info('Refusal restored from the store.', {digest, attempt: term, ms: Math.round(msLeft)});
 				}
 			}
 		},
@@ -296,7 +296,7 @@
 			const now = performance.now();
 			const recent: string[] = [];
 			for (const [digest, at] of completed.entries()) {
-				if (now - at <= newsMs) {
+				if (now - at <= reportMs) {
 					recent.push(digest);
 				}
 			}
--- a/packages/router/src/lib/quarantine/refusal-store.ts
+++ b/packages/router/src/lib/quarantine/refusal-store.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps refusals in the table service, so that they outlast a restart of all daemons and reach
- * daemons that hear no peer. A conditional write grants claims.
+ * Stores refusals in the table service, so that they survive a restart of all daemons and reach
+ * daemons that receive no reports from peers. Claims are granted by conditional writes.
  */
 import {z} from 'zod';
 import {type Log} from '../observability/log.js';
@@ -11,35 +11,35 @@
 
 const rowSchema = z.object({
 	term: z.int().min(1),
-	/** Time at which the refusal is due, on the store's clock in milliseconds. */
+	/** End of the term in milliseconds, by the store's clock. */
 	dueMs: z.number(),
 });
 
 /** Options of {@link createRefusalStore}; durations in milliseconds. */
 export type RefusalStoreOptions = {
 	table: TableClient;
-	/** The store's steady clock in milliseconds; `undefined` before its first answer. */
+	/** The store's monotonic clock in milliseconds; `undefined` before its first response. */
 	storeMs: () => number | undefined;
-	/** Gets the stored refusals. */
+	/** Called with the stored refusals. */
 	onRefusals: (refusals: readonly Refusal[]) => void;
-	/** Whether no peer is heard though there are some. */
+	/** Whether no reports arrive although there are peers. */
 	isIsolated: () => boolean;
 	log: Log;
 };
 
-/** The store, with the reading of its rows. */
+/** A store that also reads its rows. */
 export type RefusalRows = RefusalStore & {
-	/** Reads the rows until it succeeds once, and again while isolated. */
+	/** Reads the rows until one read succeeds, and repeatedly while isolated. */
 	start: () => void;
 	close: () => void;
 };
 
-const lookMs = 1000;
-/** Time past its due moment after which a row nobody claims is removed. */
+const pollMs = 1000;
+/** Time after the end of its term at which an unclaimed row is removed. */
 const staleMs = 3_600_000;
 const maxWrites = 3;
 
-/** Creates the store; it makes no calls until started or used. */
+/** Creates a store; it makes no calls until started or used. */
 export function createRefusalStore({table, storeMs, onRefusals, isIsolated, log}: RefusalStoreOptions): RefusalRows {
 	let timer: NodeJS.Timeout | undefined;
 	let isRead = false;
@@ -49,14 +49,14 @@
 		try {
 			return rowSchema.parse(JSON.parse(row.value));
 		} catch (error) {
-			log.warn('Stored refusal can\'t be read.', {err: error});
+			log.warn('Stored refusal is invalid.', {err: error});
 			return undefined;
 		}
 	};
 
 	const valueOf = ({term, msLeft}: Refusal): string => JSON.stringify({term, dueMs: Math.round((storeMs() ?? 0) + msLeft)});
 
-	/** Writes a refusal over an earlier term; false if another one stands. */
+	/** Replaces a refusal of an earlier term; returns false if the stored term isn't earlier or the row changed meanwhile. */
 	const write = async (refusal: Refusal): Promise<boolean> => {
 		const key = prefix + refusal.digest;
 		const row = await table.get(key);
@@ -77,7 +77,7 @@
 			if (writesLeft > 1 && !isClosed) {
 				setTimeout(() => {
 					void saveWithRetries(refusal, writesLeft - 1);
-				}, lookMs).unref();
+				}, pollMs).unref();
 			}
 		}
 	};
@@ -107,7 +107,7 @@
 		}
 	};
 
-	const look = async (): Promise<void> => {
+	const poll = async (): Promise<void> => {
 		if (!isRead || isIsolated()) {
 			try {
 				await read();
@@ -118,8 +118,8 @@
 
 		if (!isClosed) {
 			timer = setTimeout(() => {
-				void look();
-			}, lookMs);
+				void poll();
+			}, pollMs);
 		}
 	};
 
@@ -141,7 +141,7 @@
 			});
 		},
 		start() {
-			void look();
+			void poll();
 		},
 		close() {
 			isClosed = true;
--- a/packages/router/src/lib/quarantine/request-digest.ts
+++ b/packages/router/src/lib/quarantine/request-digest.ts
@@ -1,8 +1,8 @@
-/** Identifies a request by its content, so that a repeat is recognized under another id and by another daemon. */
+/** Identifies a request by its content, so that a repeat with another id or through another daemon is recognized. */
 import {type Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 
-/** What makes two requests the same. */
+/** Content by which two requests are the same. */
 export type RequestContent = {
 	/** Workspace of the caller; `undefined` on public routes. */
 	workspace: string | undefined;
@@ -12,10 +12,10 @@
 	bodyHash: Buffer | undefined;
 };
 
-/** Length of a digest in bytes; fits a base64 text without padding. */
+/** Length of a digest in bytes; a multiple of 3, so base64 needs no padding. */
 const digestBytes = 9;
 
-/** Digest of a request's content as text. */
+/** Returns the digest of a request's content as base64url text. */
 export function digestRequest({workspace, method, path, bodyHash}: RequestContent): string {
 	const hash = createHash('sha256').update(JSON.stringify([workspace ?? null, method, path]));
 	if (bodyHash !== undefined) {
--- a/packages/router/src/lib/quotas/bucket.ts
+++ b/packages/router/src/lib/quotas/bucket.ts
@@ -1,93 +1,93 @@
 /**
- * One daemon's copy of a workspace's bucket, and the decision whether a request passes.
+ * One daemon's copy of a workspace's token bucket, and the admission of requests from it.
  *
- * Load: callers of one workspace ask for more than its rate through many daemons at once,
- * each of which hears of the others' admissions with a delay.
+ * Made for a workspace whose callers exceed its rate through many daemons at once, each of which
+ * learns of the others' admissions with a delay.
  */
 
-/** What a peer said of its use of a workspace. */
+/** A peer's use of a workspace, by its last report. */
 export type PeerUse = {
 	incarnation: number;
 	/** Units admitted since its start. */
 	admitted: number;
-	/** Units asked for a second. */
+	/** Units requested per second. */
 	demand: number;
 	heardAt: number;
-	/** Units counted for it since it fell silent, taken back when it is heard again. */
+	/** Units deducted on its behalf since it fell silent; returned when its reports resume. */
 	assumed: number;
 };
 
-/** The copy of one bucket; times are of `performance.now()`. */
+/** Copy of a workspace's bucket; times are `performance.now()`. */
 export type Bucket = {
 	rate: number;
 	burst: number;
-	/** Units left in the fleet's bucket; below zero while overuse is paid back. */
+	/** Units left for the fleet; negative while overuse is repaid. */
 	level: number;
-	/** Units that this daemon may admit while the bucket is low. */
-	own: number;
+	/** Units that this daemon may admit while the level is low. */
+	localLevel: number;
 	refilledAt: number;
 	/** Units admitted here since the start of the process. */
 	admitted: number;
 	/** Units admitted here since the last report. */
 	unreported: number;
-	/** When units were last asked for here, and when some were last admitted. */
+	/** When units were last requested here, and when some were last admitted. */
 	askedAt: number;
 	admittedAt: number;
-	/** Units asked for a second, fading. */
+	/** Units requested here per second; decays exponentially. */
 	demand: number;
-	/** The demand that peers know, so that all work out the same parts. */
-	toldDemand: number;
+	/** Demand as last reported to peers, so that all daemons compute the same shares. */
+	reportedDemand: number;
 	peers: Map<string, PeerUse>;
-	/** Another daemon's view of the level was taken over, or this one has its own. */
-	isSettled: boolean;
+	/** Whether the level was taken from a peer's report, or this daemon has its own. */
+	isLevelKnown: boolean;
 };
 
-/** What a bucket follows of the fleet; durations in milliseconds. */
+/** Properties of the fleet that buckets depend on; durations in milliseconds. */
 export type BucketFleet = {
-	/** Daemons that are known, including this one. */
+	/** Number of known daemons, including this one. */
 	daemons: () => number;
-	/** Silence after which a peer is assumed to go on admitting unheard. */
+	/** Silence after which a peer is assumed to keep admitting although its reports don't arrive. */
 	silenceMs: () => number;
 	/** Silence after which a peer is assumed to have stopped. */
 	goneMs: () => number;
-	/** Time within which admissions of a pressed workspace's other users are heard; without it, only the parts count. */
+	/** Time within which reports of other daemons' admissions from a contended bucket arrive; if absent, daemons keep to their shares. */
 	newsMs?: () => number;
 };
 
-/** Fraction of the burst below which the bucket is low. */
-export const lowRatio = 0.5;
+/** Fraction of the burst below which the level is low. */
+export const lowLevelRatio = 0.5;
 
-/** Demand, as a multiple of the rate, from which a low bucket is split. Below it a daemon's part would be too short for its own peaks. */
-const pressedRatio = 1.5;
+/** Demand, as a multiple of the rate, above which a low bucket is split into shares. Below it, a daemon's share couldn't cover its own peaks. */
+const contendedRatio = 1.5;
 
-/** Fraction of the burst kept back, since daemons that are pressed all at once hear of each other after a round of reports. */
+/** Fraction of the burst held in reserve, since daemons that come under load all at once learn of each other only after a round of reports. */
 const reserveRatio = 0.05;
 
-/** Fraction of the rate that is spread evenly, so that a daemon without recent demand can admit too. */
-const evenRatio = 0.3;
+/** Fraction of the rate that is shared evenly, so that a daemon without recent demand can admit too. */
+const evenShareRatio = 0.3;
 
-/** Fraction of a request that must be left while the bucket is low; the rest is a debt. Large requests would otherwise wait for many small ones. */
-const downPaymentRatio = 0.5;
+/** Fraction of a request's units that must be available while the level is low; the rest becomes debt. Otherwise large requests would wait for many small ones. */
+const minAvailableRatio = 0.5;
 
-/** Fraction of the burst up to which a request passes while anything is left, since it costs the others next to nothing. */
-const smallRatio = 0.01;
+/** Fraction of the burst up to which a request is admitted while any units are left, since it costs the other daemons almost nothing. */
+const smallRequestRatio = 0.01;
 
-/** Time constant of the demand. */
-const demandMs = 2000;
+/** Time constant of the decay of demand. */
+const demandDecayMs = 2000;
 
 const minRetryMs = 50;
 
 export const msPerSecond = 1000;
 
-/** The part of the bucket that belongs to this daemon, between 0 and 1. */
-function partOf(bucket: Bucket, fleet: BucketFleet): number {
+/** This daemon's share of the bucket, between 0 and 1. */
+function shareOf(bucket: Bucket, fleet: BucketFleet): number {
 	const daemons = Math.max(1, fleet.daemons());
-	const even = evenRatio * bucket.rate / daemons;
-	const all = bucket.toldDemand + peersDemand(bucket) + (even * daemons);
-	return all <= 0 ? 1 / daemons : (bucket.toldDemand + even) / all;
+	const even = evenShareRatio * bucket.rate / daemons;
+	const all = bucket.reportedDemand + peersDemand(bucket) + (even * daemons);
+	return all <= 0 ? 1 / daemons : (bucket.reportedDemand + even) / all;
 }
 
-/** Units that peers ask for a second, as they last said. */
+/** Units requested from peers per second, by their last reports. */
 function peersDemand({peers}: Bucket): number {
 	let demand = 0;
 	for (const peer of peers.values()) {
@@ -97,8 +97,8 @@
 	return demand;
 }
 
-/** A peer that fell silent may be cut off and go on admitting its part. */
-function assumeForSilent(bucket: Bucket, fleet: BucketFleet, elapsedMs: number): void {
+/** Deducts units on behalf of silent peers, which may be partitioned and keep admitting their shares. */
+function assumeSilentUse(bucket: Bucket, fleet: BucketFleet, elapsedMs: number): void {
 	const [silenceMs, goneMs] = [fleet.silenceMs(), fleet.goneMs()];
 	for (const peer of bucket.peers.values()) {
 		const silentMs = bucket.refilledAt - peer.heardAt;
@@ -112,7 +112,7 @@
 	}
 }
 
-/** Adds what has come in since the last call. */
+/** Adds the units accrued since the last call. */
 export function refill(bucket: Bucket, fleet: BucketFleet, now: number): void {
 	const elapsedMs = now - bucket.refilledAt;
 	if (elapsedMs <= 0) {
@@ -121,52 +121,52 @@
 
 	bucket.refilledAt = now;
 	bucket.level = Math.min(bucket.burst, bucket.level + (bucket.rate * elapsedMs / msPerSecond));
-	assumeForSilent(bucket, fleet, elapsedMs);
-	const part = partOf(bucket, fleet);
-	bucket.own = Math.min(part * bucket.burst, bucket.own + (part * bucket.rate * elapsedMs / msPerSecond));
-	bucket.demand *= Math.exp(-elapsedMs / demandMs);
+	assumeSilentUse(bucket, fleet, elapsedMs);
+	const share = shareOf(bucket, fleet);
+	bucket.localLevel = Math.min(share * bucket.burst, bucket.localLevel + (share * bucket.rate * elapsedMs / msPerSecond));
+	bucket.demand *= Math.exp(-elapsedMs / demandDecayMs);
 }
 
-/** Takes over limits that the operator changed. */
+/** Applies limits that the operator changed. */
 export function setLimits(bucket: Bucket, fleet: BucketFleet, {rate, burst}: Pick<Bucket, 'rate' | 'burst'>): void {
 	if (bucket.rate !== rate || bucket.burst !== burst) {
 		bucket.rate = rate;
 		bucket.burst = burst;
 		bucket.level = Math.min(bucket.level, burst);
-		bucket.own = Math.min(bucket.own, burst * partOf(bucket, fleet));
+		bucket.localLevel = Math.min(bucket.localLevel, burst * shareOf(bucket, fleet));
 	}
 }
 
-/** Counts units that were asked for here. */
-export function ask(bucket: Bucket, units: number, now: number): void {
+/** Adds requested units to the demand. */
+export function addDemand(bucket: Bucket, units: number, now: number): void {
 	bucket.askedAt = now;
-	bucket.demand += units * msPerSecond / demandMs;
+	bucket.demand += units * msPerSecond / demandDecayMs;
 }
 
-/** Takes units that were admitted here; negative units are given back. */
+/** Deducts units that were admitted here; negative units are returned. */
 export function take(bucket: Bucket, units: number): void {
 	bucket.level = Math.min(bucket.burst, bucket.level - units);
-	bucket.own = Math.max(-bucket.burst, bucket.own - units);
+	bucket.localLevel = Math.max(-bucket.burst, bucket.localLevel - units);
 	bucket.admitted += units;
 	bucket.unreported += units;
 }
 
-/** More is asked of the fleet than comes in, so that daemons compete for the last units. */
-const isPressed = (bucket: Bucket): boolean => bucket.demand + peersDemand(bucket) > bucket.rate * pressedRatio;
+/** Whether demand exceeds the rate by so much that daemons compete for the last units. */
+const isContended = (bucket: Bucket): boolean => bucket.demand + peersDemand(bucket) > bucket.rate * contendedRatio;
 
-/** Whether a request of so many units passes. */
+/** Whether a request of this many units is admitted. */
 export function mayAdmit(bucket: Bucket, fleet: BucketFleet, units: number): boolean {
-	if (bucket.level - units >= bucket.burst * lowRatio) {
+	if (bucket.level - units >= bucket.burst * lowLevelRatio) {
 		return true;
 	}
 
-	const wanted = Math.min(units, bucket.burst) * downPaymentRatio;
+	const required = Math.min(units, bucket.burst) * minAvailableRatio;
 	const reserve = bucket.burst * reserveRatio;
-	if (!isPressed(bucket)) {
-		return bucket.level - reserve >= wanted;
+	if (!isContended(bucket)) {
+		return bucket.level - reserve >= required;
 	}
 
-	if (bucket.level > 0 && (bucket.own >= wanted || units <= bucket.burst * smallRatio)) {
+	if (bucket.level > 0 && (bucket.localLevel >= required || units <= bucket.burst * smallRequestRatio)) {
 		return true;
 	}
 
@@ -174,15 +174,15 @@
 		return false;
 	}
 
-	// Beyond this daemon's part, only what is left after all that peers may have admitted unheard.
-	const unheard = peersDemand(bucket) * fleet.newsMs() / msPerSecond;
-	return bucket.level - reserve - unheard >= wanted;
+	// Beyond its share, a daemon uses only what is left after all that peers may have admitted since their last reports.
+	const unreportedUnits = peersDemand(bucket) * fleet.newsMs() / msPerSecond;
+	return bucket.level - reserve - unreportedUnits >= required;
 }
 
-/** Milliseconds after which the same request would pass if nothing else came. */
+/** Milliseconds after which the same request would be admitted if no others came. */
 export function retryAfterMs(bucket: Bucket, fleet: BucketFleet, units: number): number {
-	const wanted = Math.min(units, bucket.burst) * downPaymentRatio;
-	const ownMs = (wanted - bucket.own) / (partOf(bucket, fleet) * bucket.rate) * msPerSecond;
+	const required = Math.min(units, bucket.burst) * minAvailableRatio;
+	const ownMs = (required - bucket.localLevel) / (shareOf(bucket, fleet) * bucket.rate) * msPerSecond;
 	const levelMs = -bucket.level / bucket.rate * msPerSecond;
 	return Math.max(minRetryMs, ownMs, levelMs);
 }
--- a/packages/router/src/lib/quotas/fleet-quota.ts
+++ b/packages/router/src/lib/quotas/fleet-quota.ts
@@ -1,85 +1,84 @@
 /**
- * Keeps each workspace inside its rate and burst over all VMs together.
+ * Enforces each workspace's rate and burst over all VMs together.
  *
- * Every daemon keeps a copy of one bucket for the whole fleet: it grows at the
- * workspace's rate, and falls by what this daemon admits at once and by what
- * the others say they have admitted. While plenty is left, whoever is asked
- * admits. When it runs low, each daemon admits only its part of what comes in,
- * by the demand that it has told its peers, so that nine daemons don't each
- * spend the last tokens. What several admit at the same moment is a debt of the
- * bucket, paid back before more is admitted: the fleet is over its quota by
- * what is asked within one round of reports at most, not each round again.
+ * Every daemon keeps a copy of one token bucket for the whole fleet. It refills at the
+ * workspace's rate; this daemon's admissions are deducted at once, those of its peers when they
+ * are reported. While the level is high, any daemon admits. While it is low, each daemon admits
+ * only its share of the refill, by the demand that it has reported to its peers, so that nine
+ * daemons don't each spend the last tokens. What several daemons admit at the same moment becomes
+ * debt of the bucket and is repaid before more is admitted: the fleet exceeds its quota at most by
+ * what is requested within one round of reports, and not again in each round.
  *
- * In a fleet larger than one round of reports, a daemon's first use of a workspace is
- * announced to all, and what it admits while the bucket is low to the workspace's other
- * users, who would else learn of it only when their turn comes.
+ * In a fleet larger than one round of reports, a daemon announces its first use of a workspace to
+ * all peers, and its admissions while the level is low to the workspace's other users, which
+ * would otherwise learn of them only when their turn in the rounds comes.
  */
 import {type Workspace} from '../fleet/fleet-document.js';
 import {type PeerReport} from '../peers/peer-report.js';
 import {
-	ask, type Bucket, type BucketFleet, lowRatio, mayAdmit, msPerSecond, type PeerUse, refill, retryAfterMs, setLimits, take,
+	addDemand, type Bucket, type BucketFleet, lowLevelRatio, mayAdmit, msPerSecond, type PeerUse, refill, retryAfterMs, setLimits, take,
 } from './bucket.js';
 
-/** What came of asking. */
+/** Outcome of a request for units. */
 export type Admission
 	= | {granted: true; refund: () => void}
 	/**
-	 * `retryAfterMs`: when the same request would pass if nothing else came.
-	 * `level` and `own`: units left for the fleet, and for this daemon, as it saw them.
+	 * `retryAfterMs`: time after which the same request would be admitted if no others came.
+	 * `level` and `own`: units left for the fleet, and for this daemon, in its copy of the bucket.
 	 */
 		| {granted: false; retryAfterMs: number; level: number; own: number};
 
 /** Options of {@link createFleetQuota}; durations in milliseconds. */
 export type FleetQuotaOptions = BucketFleet & {
-	/** Buckets start full: the whole fleet starts for the first time. */
+	/** Whether buckets start full, since the whole fleet starts for the first time. */
 	startsFull: boolean;
-	/** Units that a bucket starts with otherwise, since what was spent before a restart of the whole fleet is unknown. */
+	/** Initial units of a bucket otherwise, since what was spent before a restart of the whole fleet is unknown. */
 	startUnits: number;
-	/** Called when much was admitted since the last report. */
+	/** Called when many units were admitted since the last report. */
 	onUnreported: () => void;
 	/** Whether one round of reports doesn't reach all peers. */
 	isBeyondRound?: () => boolean;
-	/** Called when these daemons, or all, should hear of an admission before their turn. */
+	/** Called when an admission should be reported to these daemons, or to all, before their turn. */
 	onShared?: (users: readonly string[] | 'all') => void;
 };
 
-/** The quotas of all workspaces. */
+/** Quotas of all workspaces. */
 export type FleetQuota = {
-	/** Takes units for one request. */
+	/** Requests units for one request. */
 	admit: (workspace: Workspace, units: number) => Admission;
-	/** A peer said what it has admitted. */
+	/** Processes a peer's report. */
 	heard: (report: PeerReport) => void;
-	/** A peer stops: it admits nothing any more. */
+	/** Forgets a peer that has stopped and admits nothing any more. */
 	left: (daemon: string) => void;
-	/** This daemon's own part of the report. */
+	/** This daemon's use of workspaces, for its report. */
 	report: () => PeerReport['usage'];
 };
 
-/** What peers have said of a workspace that this daemon has not used. */
-type ForeignUse = {peers: Map<string, PeerUse>; level: number; at: number};
+/** Peers' use of a workspace that this daemon has not used. */
+type RemoteUse = {peers: Map<string, PeerUse>; level: number; at: number};
 
 type Usage = PeerReport['usage'][number];
 
-/** Fraction of the burst that one daemon admits before it tells its peers at once. */
+/** Fraction of the burst that a daemon may admit before it reports at once. */
 const maxUnreportedRatio = 0.2;
 
-/** Time without use after which a workspace is left out of reports. */
+/** Time without use after which a workspace is omitted from reports. */
 const idleMs = 20_000;
 
-/** Minimum time between two announcements to all, whose cost grows with the fleet and with its workspaces. */
+/** Minimum time between announcements to all peers, whose cost grows with the number of daemons and of workspaces. */
 const minAnnounceMs = 3000;
 
 /** Creates the quotas of one daemon. */
 export function createFleetQuota(options: FleetQuotaOptions): FleetQuota {
 	const buckets = new Map<string, Bucket>();
-	const foreign = new Map<string, ForeignUse>();
-	/** Process of each peer whose reports were heard. */
+	const remoteUses = new Map<string, RemoteUse>();
+	/** Incarnation of each peer, by its last report. */
 	const incarnations = new Map<string, number>();
 	let announcedAt = Number.NEGATIVE_INFINITY;
 
-	/** Units of a bucket that this daemon opens: what its users last said is left, or else what it starts with. */
+	/** Initial level of a bucket: what its users last reported plus the refill since, or else the configured start. */
 	const openingLevel = ({name, rate, burst}: Workspace, now: number): number => {
-		const known = foreign.get(name);
+		const known = remoteUses.get(name);
 		if (known !== undefined) {
 			return Math.min(burst, known.level + (rate * (now - known.at) / msPerSecond));
 		}
@@ -94,41 +93,41 @@
 			rate,
 			burst,
 			level,
-			own: level / Math.max(1, options.daemons()),
+			localLevel: level / Math.max(1, options.daemons()),
 			refilledAt: now,
 			admitted: 0,
 			unreported: 0,
 			askedAt: Number.NEGATIVE_INFINITY,
 			admittedAt: Number.NEGATIVE_INFINITY,
 			demand: 0,
-			toldDemand: 0,
-			peers: foreign.get(name)?.peers ?? new Map<string, PeerUse>(),
-			isSettled: options.startsFull || foreign.has(name),
+			reportedDemand: 0,
+			peers: remoteUses.get(name)?.peers ?? new Map<string, PeerUse>(),
+			isLevelKnown: options.startsFull || remoteUses.has(name),
 		};
-		foreign.delete(name);
+		remoteUses.delete(name);
 		buckets.set(name, bucket);
 		return bucket;
 	};
 
-	/** Units that a peer admitted since it was last heard; of a longer silence only as many as matter to a window. */
-	const unheardUnits = (report: PeerReport, known: PeerUse | undefined, [, admitted, demand]: Usage): number => {
+	/** Units that a peer admitted since its last report; after a long silence, at most those that still matter to a quota window. */
+	const unitsSinceLastReport = (report: PeerReport, known: PeerUse | undefined, [, admitted, demand]: Usage): number => {
 		const isSameProcess = known?.incarnation === report.incarnation;
 		const units = isSameProcess ? admitted - known.admitted : admitted;
-		const isFollowed = isSameProcess
+		const isTracked = isSameProcess
 			? performance.now() - known.heardAt <= options.goneMs()
 			: incarnations.get(report.daemon) === report.incarnation;
-		return isFollowed ? units : Math.min(units, demand * options.goneMs() / msPerSecond);
+		return isTracked ? units : Math.min(units, demand * options.goneMs() / msPerSecond);
 	};
 
-	const heardUse = (bucket: Bucket, report: PeerReport, use: Usage): void => {
+	const recordPeerUse = (bucket: Bucket, report: PeerReport, use: Usage): void => {
 		const [, admitted, demand, level] = use;
 		const now = performance.now();
 		refill(bucket, options, now);
 		const known = bucket.peers.get(report.daemon);
-		if (bucket.isSettled) {
-			bucket.level = Math.min(bucket.burst, bucket.level + (known?.assumed ?? 0) - unheardUnits(report, known, use));
+		if (bucket.isLevelKnown) {
+			bucket.level = Math.min(bucket.burst, bucket.level + (known?.assumed ?? 0) - unitsSinceLastReport(report, known, use));
 		} else {
-			bucket.isSettled = true;
+			bucket.isLevelKnown = true;
 			bucket.level = level;
 		}
 
@@ -137,8 +136,8 @@
 		});
 	};
 
-	/** A peer leaves out what it has not used of late, and so admits nothing of it. */
-	const heardNothingOf = (bucket: Bucket, daemon: string): void => {
+	/** A peer omits workspaces that it has not used recently, so it admits nothing of them. */
+	const clearPeerUse = (bucket: Bucket, daemon: string): void => {
 		const peer = bucket.peers.get(daemon);
 		if (peer !== undefined) {
 			bucket.level = Math.min(bucket.burst, bucket.level + peer.assumed);
@@ -146,16 +145,16 @@
 		}
 	};
 
-	const heardForeign = ({daemon, incarnation}: PeerReport, [name, admitted, demand, level]: Usage): void => {
+	const recordRemoteUse = ({daemon, incarnation}: PeerReport, [name, admitted, demand, level]: Usage): void => {
 		const now = performance.now();
-		const peers = foreign.get(name)?.peers ?? new Map<string, PeerUse>();
+		const peers = remoteUses.get(name)?.peers ?? new Map<string, PeerUse>();
 		peers.set(daemon, {
 			incarnation, admitted, demand, heardAt: now, assumed: 0,
 		});
-		foreign.set(name, {peers, level, at: now});
+		remoteUses.set(name, {peers, level, at: now});
 	};
 
-	/** Lets peers know of an admission that theirs must count with. */
+	/** Requests an early report of an admission that peers must account for. */
 	const announce = (bucket: Bucket, isFirstUse: boolean, demandBefore: number): void => {
 		if (bucket.unreported > bucket.burst * maxUnreportedRatio) {
 			options.onUnreported();
@@ -165,13 +164,13 @@
 			return;
 		}
 
-		// If the other users ask for as much, the bucket is pressed though this daemon can't see it yet.
-		const mayBePressed = demandBefore * (bucket.peers.size + 1) > bucket.rate;
+		// If the other users request as much, the bucket is contended although this daemon can't know it yet.
+		const mayBeContended = demandBefore * (bucket.peers.size + 1) > bucket.rate;
 		const now = performance.now();
 		if (isFirstUse && now - announcedAt >= minAnnounceMs) {
 			announcedAt = now;
 			options.onShared?.('all');
-		} else if (mayBePressed || bucket.level < bucket.burst * lowRatio) {
+		} else if (mayBeContended || bucket.level < bucket.burst * lowLevelRatio) {
 			options.onShared?.([...bucket.peers.keys()]);
 		}
 	};
@@ -191,10 +190,10 @@
 			refill(bucket, options, now);
 			setLimits(bucket, options, workspace);
 			const demandBefore = bucket.demand;
-			ask(bucket, units, now);
+			addDemand(bucket, units, now);
 			if (!mayAdmit(bucket, options, units)) {
 				return {
-					granted: false, retryAfterMs: retryAfterMs(bucket, options, units), level: bucket.level, own: bucket.own,
+					granted: false, retryAfterMs: retryAfterMs(bucket, options, units), level: bucket.level, own: bucket.localLevel,
 				};
 			}
 
@@ -214,21 +213,21 @@
 			};
 		},
 		heard(report) {
-			const told = new Set<string>();
+			const reportedWorkspaces = new Set<string>();
 			for (const use of report.usage) {
 				const [name] = use;
 				const bucket = buckets.get(name);
-				told.add(name);
+				reportedWorkspaces.add(name);
 				if (bucket === undefined) {
-					heardForeign(report, use);
+					recordRemoteUse(report, use);
 				} else {
-					heardUse(bucket, report, use);
+					recordPeerUse(bucket, report, use);
 				}
 			}
 
 			for (const [name, bucket] of buckets) {
-				if (!told.has(name)) {
-					heardNothingOf(bucket, report.daemon);
+				if (!reportedWorkspaces.has(name)) {
+					clearPeerUse(bucket, report.daemon);
 				}
 			}
 
@@ -236,7 +235,7 @@
 		},
 		left(daemon) {
 			incarnations.delete(daemon);
-			for (const {peers} of [...buckets.values(), ...foreign.values()]) {
+			for (const {peers} of [...buckets.values(), ...remoteUses.values()]) {
 				peers.delete(daemon);
 			}
 		},
@@ -250,8 +249,8 @@
 
 				refill(bucket, options, now);
 				bucket.unreported = 0;
-				bucket.toldDemand = Math.round(bucket.demand);
-				usage.push([name, Math.round(bucket.admitted), bucket.toldDemand, Math.round(bucket.level)]);
+				bucket.reportedDemand = Math.round(bucket.demand);
+				usage.push([name, Math.round(bucket.admitted), bucket.reportedDemand, Math.round(bucket.level)]);
 			}
 
 			return usage;
--- a/packages/router/src/quarantine.ts
+++ b/packages/router/src/quarantine.ts
@@ -1,4 +1,4 @@
-/** Keeps requests that crash endpoints away from them. */
+/** Refuses requests that crash endpoints. */
 export * from './lib/quarantine/connection-check.js';
 export * from './lib/quarantine/crash-evidence.js';
 export * from './lib/quarantine/crash-watch.js';
--- a/packages/router/src/quotas.ts
+++ b/packages/router/src/quotas.ts
@@ -1,2 +1,2 @@
-/** Rates and bursts over all VMs, by what daemons tell each other. */
+/** Enforces rates and bursts over all VMs, through reports between daemons. */
 export * from './lib/quotas/fleet-quota.js';
--- a/packages/router/src/test/fairness/fair-queue.test.ts
+++ b/packages/router/src/test/fairness/fair-queue.test.ts
@@ -5,9 +5,9 @@
 	createFairQueue, type FairQueue, type QueueEntry, type QueueResult, type QueueTicket,
 } from '../../fairness.js';
 
-const quiet = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 const entryOf = (workspace: string, more: Partial<QueueEntry> = {}): QueueEntry => ({
-	workspace, weight: 1, cost: 1000, longestWaitMs: 600_000, signal: quiet, ...more,
+	workspace, weight: 1, cost: 1000, longestWaitMs: 600_000, signal: neverAborted, ...more,
 });
 
 const refusalOf = (result: QueueResult | undefined) => (result?.granted === false ? result.reason : undefined);
@@ -35,7 +35,7 @@
 		}
 	}
 
-	/** Notes the order in which entries get their turn; each turn ends at once. */
+	/** Returns the workspaces in the order in which their entries start; each entry ends at once. */
 	async function orderOf(queue: FairQueue, entries: QueueEntry[]): Promise<string[]> {
 		const first = await queue.enter(entryOf('first'));
 		const order: string[] = [];
@@ -50,16 +50,15 @@
 		return order;
 	}
 
-	// A small workspace's caller waits for one turn at most. The large one has
-	// 50 requests in line before it; they wait behind each other, not before it.
-	it('lets a small workspace pass the line of a large one', async () => {
+	// Guards against a small workspace that waits behind all 50 queued requests of a large one.
+	it('lets a small workspace wait for at most one queued request of a large one', async () => {
 		const entries = [...Array.from({length: 50}, () => entryOf('large')), entryOf('small')];
 		const order = await orderOf(queueOf(1), entries);
 		assert.isAtMost(order.indexOf('small'), 1);
 	});
 
-	// Counting requests would favour whoever sends long ones: turns go by
-	// tokens, so four short requests weigh as much as one long one.
+	// Sharing by number of requests would favour workspaces that send long ones: by tokens, four
+	// short requests here weigh as much as one long one.
 	it('shares by tokens and weight, not by requests', async () => {
 		const entries = [
 			...Array.from({length: 20}, () => entryOf('long', {cost: 4000})),
@@ -73,9 +72,8 @@
 		assert.closeTo(count('heavy'), 2 * count('short'), 4);
 	});
 
-	// The caller gets its refusal at once. Its wait would end past its
-	// deadline, so waiting would only keep it from asking elsewhere.
-	it('refuses at once what would be late', async () => {
+	// A wait that ends past the caller's deadline would only keep it from trying elsewhere.
+	it('refuses at once a request that would be late', async () => {
 		const queue = queueOf(1);
 		await queue.enter(entryOf('a'));
 		for (let count = 0; count < 20; count++) {
@@ -87,7 +85,7 @@
 		assert.isAbove((result as {retryAfterMs: number}).retryAfterMs, 100);
 	});
 
-	it('answers a waiting request at the moment its time is over', async () => {
+	it('refuses a waiting request at the moment its time is over', async () => {
 		const queue = queueOf(1);
 		await queue.enter(entryOf('a'));
 		let result: QueueResult | undefined;
@@ -102,7 +100,7 @@
 		assert.equal(queue.waiting, 0);
 	});
 
-	it('bounds the line of each workspace without touching the others', async () => {
+	it('limits the waiting requests of each workspace separately', async () => {
 		const queue = queueOf(1, {mostWaitingPerWorkspace: 2});
 		await queue.enter(entryOf('a'));
 		void queue.enter(entryOf('a'));
@@ -113,7 +111,7 @@
 		assert.equal(queue.waiting, 3);
 	});
 
-	it('takes out a request whose caller has gone', async () => {
+	it('removes a request whose caller has disconnected', async () => {
 		const queue = queueOf(1);
 		await queue.enter(entryOf('a'));
 		const caller = new AbortController();
@@ -122,10 +120,10 @@
 		assert.equal(refusalOf(await result), 'gone');
 	});
 
-	// A small workspace's caller starts at once. The large one has asked for more
-	// turns than there are; some are kept for whoever runs less than its part,
-	// so nobody has to wait for one of the large one's long requests to end.
-	it('keeps turns free for a workspace that runs little', async () => {
+	// Guards against a large workspace that takes all slots, so that requests of others wait for
+	// one of its long requests to end. Some slots are reserved for workspaces that run less than
+	// their share.
+	it('reserves slots for a workspace that runs few requests', async () => {
 		const queue = queueOf(8);
 		for (let count = 0; count < 20; count++) {
 			void queue.enter(entryOf('large'));
@@ -141,9 +139,9 @@
 		assert.isTrue(small?.granted);
 	});
 
-	// Engines compute prompts by priority. Were all equal, a short prompt would
-	// wait in the engine behind every long one that another workspace has there.
-	it('gives a lower priority to a workspace with much under way', async () => {
+	// Engines compute prompts by priority. With equal priorities a short prompt would wait in the
+	// engine behind all long ones of another workspace.
+	it('gives a lower priority to a workspace with many outstanding tokens', async () => {
 		const queue = queueOf(32);
 		let last: QueueResult | undefined;
 		for (let count = 0; count < 6; count++) {
@@ -156,7 +154,7 @@
 		assert.isAbove(priorityOf(last), 3);
 	});
 
-	it('never runs more than its limit and forgets nobody, whatever ends how', async () => {
+	it('never runs more than its limit and settles every request, however each one ends', async () => {
 		const step = fc.record({
 			workspace: fc.constantFrom('a', 'b', 'c'),
 			cost: fc.integer({min: 1, max: 5000}),
--- a/packages/router/src/test/quarantine/crash-evidence.test.ts
+++ b/packages/router/src/test/quarantine/crash-evidence.test.ts
@@ -2,7 +2,7 @@
 import {assert} from 'chai';
 import {createCrashEvidence, type CrashEvidence, type Suspect} from '../../lib/quarantine/crash-evidence.js';
 
-const apartMs = 200;
+const crashIntervalMs = 200;
 
 describe('createCrashEvidence', () => {
 	let clock: FakeTimers.Clock;
@@ -21,8 +21,8 @@
 
 	const at = (position: string) => (digest: string): Suspect => ({digest, position});
 
-	/** A crash of a process that nobody has seen crash; returns which causes are found. */
-	const crash = (suspects: readonly Suspect[], pauseMs = apartMs): string[] => {
+	/** Adds a crash of a new process; returns the digests of the causes found. */
+	const crash = (suspects: readonly Suspect[], pauseMs = crashIntervalMs): string[] => {
 		clock.tick(pauseMs);
 		starts++;
 		const {causes} = evidence.add('vm-1', {
@@ -31,10 +31,10 @@
 		return causes.map(({digest}) => digest);
 	};
 
-	it('finds the request that is present at three crashes, and names them', () => {
+	it('finds the request that is in flight at three crashes, and lists these crashes', () => {
 		assert.deepEqual(crash(['bad', 'a', 'b'].map(at(''))), []);
 		assert.deepEqual(crash(['bad', 'c'].map(at(''))), []);
-		clock.tick(apartMs);
+		clock.tick(crashIntervalMs);
 		const {causes} = evidence.add('vm-2', {
 			endpoint: 'e3', startedAt: 9, ageMs: 40, suspects: ['d', 'bad'].map(at('')),
 		});
@@ -43,60 +43,60 @@
 		assert.equal(causes[0].crashes[2].ageMs, 40);
 	});
 
-	it('doesn\'t count the crashes of a known cause against those that ran beside it', () => {
+	it('doesn\'t count crashes of a known cause against requests in flight beside it', () => {
 		crash(['bad', 'beside'].map(at('')));
 		crash(['bad'].map(at('')));
 		crash(['bad', 'beside'].map(at('')));
-		assert.equal(evidence.crashesOf('beside'), 0);
+		assert.equal(evidence.countCrashes('beside'), 0);
 		assert.deepEqual(crash(['bad', 'beside'].map(at(''))), []);
 	});
 
-	it('finds the cause beside a request that was taken for it before', () => {
-		// Guards against further crashes of a cause whose first ones were put down to another request.
+	it('finds the cause after another request was mistaken for it', () => {
+		// Guards against a cause that keeps crashing endpoints because its first crashes were attributed to another request.
 		crash(['other'].map(at('')));
 		crash(['bad', 'other'].map(at('')));
 		assert.deepEqual(crash(['bad', 'other'].map(at(''))), ['other']);
 		assert.deepEqual(crash(['bad', 'c'].map(at(''))), ['bad']);
 	});
 
-	it('counts a crash that several daemons report once', () => {
+	it('counts a crash once if several daemons report it', () => {
 		for (const observer of ['vm-1', 'vm-2', 'vm-3', 'vm-4']) {
 			evidence.add(observer, {
 				endpoint: 'e', startedAt: 1, ageMs: 0, suspects: [at('')('busy')],
 			});
 		}
 
-		assert.equal(evidence.crashesOf('busy'), 1);
+		assert.equal(evidence.countCrashes('busy'), 1);
 	});
 
-	it('takes no stream for a cause that gets further each time', () => {
+	it('doesn\'t find a stream that advances at each crash', () => {
 		for (const position of ['', '4', '9', '17', '23']) {
 			assert.deepEqual(crash([at(position)('stream')]), []);
 		}
 	});
 
-	it('finds a stream that gets to the same event each time', () => {
+	it('finds a stream that stops at the same event at each crash', () => {
 		crash([at('7')('stream')]);
 		crash([at('7')('stream')]);
 		assert.deepEqual(crash([at('7')('stream')]), ['stream']);
 	});
 
-	it('counts crashes of a whole group at the same moment once', () => {
-		// Guards against the refusal of a popular request when a rack or data centre is lost.
+	it('counts simultaneous crashes of a group of endpoints once', () => {
+		// Guards against refusing a popular request when a rack or data centre fails.
 		for (let index = 0; index < 8; index++) {
 			assert.deepEqual(crash([at('')('popular')], 1), []);
 		}
 	});
 
-	it('lets a request go that ran to its end, also if a crash is told later', () => {
+	it('clears a request that completed, even if a crash is reported later', () => {
 		crash([at('')('popular')]);
 		crash([at('')('popular')]);
 		evidence.markCompleted('popular');
 		assert.deepEqual(crash([at('')('popular')]), []);
-		assert.equal(evidence.crashesOf('popular'), 0);
+		assert.equal(evidence.countCrashes('popular'), 0);
 	});
 
-	it('forgets what ran to its end after a while, since endpoints change', () => {
+	it('suspects a completed request again after a minute, since endpoints change', () => {
 		evidence.markCompleted('request');
 		clock.tick(60_001);
 		crash([at('')('request')]);
@@ -104,14 +104,14 @@
 		assert.deepEqual(crash([at('')('request')]), ['request']);
 	});
 
-	it('forgets crashes after ten minutes', () => {
+	it('ignores crashes older than ten minutes', () => {
 		crash([at('')('rare')]);
 		crash([at('')('rare')]);
 		clock.tick(600_000);
 		assert.deepEqual(crash([at('')('rare')]), []);
 	});
 
-	it('stays within its bounds under a flood of different requests', () => {
+	it('limits the stored crashes and suspects when many different requests are in flight', () => {
 		const small = createCrashEvidence({maxCrashes: 4, maxSuspects: 2});
 		for (let index = 0; index < 100; index++) {
 			small.add('vm-1', {
@@ -119,8 +119,8 @@
 			});
 		}
 
-		assert.equal(small.crashesOf('b99'), 0);
-		assert.equal(small.crashesOf('a0'), 0);
-		assert.equal(small.crashesOf('a99'), 1);
+		assert.equal(small.countCrashes('b99'), 0);
+		assert.equal(small.countCrashes('a0'), 0);
+		assert.equal(small.countCrashes('a99'), 1);
 	});
 });
--- a/packages/router/src/test/quarantine/crash-watch.test.ts
+++ b/packages/router/src/test/quarantine/crash-watch.test.ts
@@ -41,7 +41,7 @@
 
 	const digests = (): string[][] => crashes.map(({suspects}) => suspects.map(({digest}) => digest));
 
-	it('takes connections that break off together for one crash, if the endpoint refuses new ones', async () => {
+	it('reports connections that break together as one crash if the endpoint refuses new ones', async () => {
 		isRefusing = true;
 		watch.brokeOff(endpoint, {digest: 'a', position: ''});
 		watch.brokeOff(endpoint, {digest: 'b', position: '4'});
@@ -53,14 +53,14 @@
 		assert.deepEqual([crashes[0].endpoint, crashes[0].startedAt, crashes[0].ageMs], ['e1', 7, 10]);
 	});
 
-	it('takes no reset of an endpoint that goes on for a crash', async () => {
-		// Guards against refusals of requests at endpoints that fail some of them, or across a cut link.
+	it('reports no crash when an endpoint that keeps running resets a connection', async () => {
+		// Guards against refusing requests because an endpoint fails some of them, or because a link is down.
 		watch.brokeOff(endpoint, {digest: 'a', position: ''});
 		await clock.tickAsync(20_000);
 		assert.lengthOf(crashes, 0);
 	});
 
-	it('finds a crash whose endpoint is back at once under another id', async () => {
+	it('reports a crash when the endpoint restarts at once with another id', async () => {
 		watch.brokeOff(endpoint, {digest: 'a', position: ''});
 		await clock.tickAsync(300);
 		state = 'ended';
@@ -68,8 +68,8 @@
 		assert.deepEqual(digests(), [['a']]);
 	});
 
-	it('takes no announced end for a crash', async () => {
-		// Guards against refusals while endpoints are drained or replaced.
+	it('reports no crash when the end of a process was announced', async () => {
+		// Guards against refusing requests while endpoints are drained or replaced.
 		isRefusing = true;
 		state = 'leaving';
 		watch.brokeOff(endpoint, {digest: 'a', position: ''});
--- a/packages/router/src/test/quarantine/crashing-load.test.ts
+++ b/packages/router/src/test/quarantine/crashing-load.test.ts
@@ -6,20 +6,20 @@
 const endpointCount = 24;
 const downMs = 5000;
 const stepMs = 10;
-const lastsMs = 120_000;
+const durationMs = 120_000;
 const requestsPerStep = 2;
 const crashEveryMs = 500;
-/** Time from a break to the same request's next run. */
+/** Time from a broken connection to the next run of the same request. */
 const retryMs = {inAttempt: 20, byCaller: 400};
-/** A request runs again twice at most: once in its attempt, once by its caller. */
+/** A request is retried at most twice: once by the router, once by its caller. */
 const maxRuns = 3;
 const eventMs = 20;
 const seeds = [1, 2, 3, 106, 113, 127];
 
 type Run = {digest: string; runs: number; beginsAt: number; endsAt: number; at: number; event: number};
 
-/** A load on endpoints that crash each half second, by one request after another, with an unrelated crash each four seconds. */
-function playLoad(seed: number, clock: FakeTimers.Clock) {
+/** Simulates load on endpoints that one request after another crashes every half second, with an unrelated crash every four seconds. */
+function simulateLoad(seed: number, clock: FakeTimers.Clock) {
 	const generator = xoroshiro128plus(seed);
 	const random = () => (generator.next() >>> 0) / (2 ** 32); // eslint-disable-line no-bitwise
 	const evidence = createCrashEvidence();
@@ -28,7 +28,7 @@
 	let due: Array<{at: number; run: Run}> = [];
 	const refused = new Set<string>();
 	const crashesOfBad = new Map<string, number>();
-	const beside: number[] = [];
+	const concurrentCounts: number[] = [];
 	let requests = 0;
 	let bad = 0;
 	let starts = 0;
@@ -45,7 +45,7 @@
 		const broken = running[endpoint];
 		running[endpoint] = [];
 		upAt[endpoint] = now + downMs;
-		beside.push(broken.length);
+		concurrentCounts.push(broken.length);
 		const suspects = broken.map(run => {
 			const event = run.event + Math.max(0, Math.floor((now - run.beginsAt) / eventMs));
 			if (run.runs < maxRuns) {
@@ -72,7 +72,7 @@
 		crash(now, up[Math.floor(random() * up.length)], cause);
 	};
 
-	for (let now = 0; now < lastsMs; now += stepMs) {
+	for (let now = 0; now < durationMs; now += stepMs) {
 		clock.tick(stepMs);
 		for (const runs of running) {
 			for (const run of runs.filter(({endsAt}) => endsAt <= now)) {
@@ -106,13 +106,13 @@
 	}
 
 	const othersRefused = [...refused].filter(digest => digest.startsWith('r')).length;
-	const meanBeside = beside.reduce((sum, count) => sum + count, 0) / beside.length;
+	const meanConcurrent = concurrentCounts.reduce((sum, count) => sum + count, 0) / concurrentCounts.length;
 	return {
-		requests, othersRefused, meanBeside, crashesOfBad: [...crashesOfBad.values()].slice(0, -1),
+		requests, othersRefused, meanConcurrent, crashesOfBad: [...crashesOfBad.values()].slice(0, -1),
 	};
 }
 
-describe('crashes under load, each half second with twenty to forty requests beside', () => {
+describe('createCrashEvidence with a crash every half second and 20 to 40 other requests in flight', () => {
 	let clock: FakeTimers.Clock;
 
 	beforeEach(() => {
@@ -123,14 +123,14 @@
 		clock.uninstall();
 	});
 
-	const play = (seed: number) => playLoad(seed, clock);
+	const simulate = (seed: number) => simulateLoad(seed, clock);
 
 	for (const seed of seeds) {
-		it(`lead to the refusal of each cause at its third crash, and of one other request in 2,000 at most (seed ${seed})`, () => {
-			const {requests, othersRefused, meanBeside, crashesOfBad} = play(seed);
+		it(`finds each cause at its third crash, and at most one other request in 2,000 (seed ${seed})`, () => {
+			const {requests, othersRefused, meanConcurrent, crashesOfBad} = simulate(seed);
 			assert.isAbove(requests, 15_000);
-			assert.isAtLeast(meanBeside, 20);
-			assert.isAtMost(meanBeside, 40);
+			assert.isAtLeast(meanConcurrent, 20);
+			assert.isAtMost(meanConcurrent, 40);
 			assert.isAtLeast(crashesOfBad.length, 60);
 			assert.deepEqual(new Set(crashesOfBad), new Set([3]));
 			assert.isAtMost(othersRefused, requests / 2000);
--- a/packages/router/src/test/quarantine/fleet-refusal.test.ts
+++ b/packages/router/src/test/quarantine/fleet-refusal.test.ts
@@ -7,15 +7,15 @@
 
 const boundMs = 3000;
 const crashEveryMs = 500;
-/** Time after the third crash at which one daemon starts and another goes on. */
+/** Time after the third crash at which one daemon starts and the frozen one resumes. */
 const startAfterMs = 100;
 const sizes = [6, 70, 195, 650];
 
-/** Daemons with special roles. */
-const frozen = 3;
-const oneWay = 4;
+/** Index of the daemon that freezes, and of the one that receives from half of its peers only. */
+const frozenIndex = 3;
+const halfReachableIndex = 4;
 
-describe('a refusal in fleets of all sizes', () => {
+describe('createQuarantine in fleets of all sizes', () => {
 	let clock: FakeTimers.Clock;
 
 	beforeEach(() => {
@@ -32,7 +32,7 @@
 		const openExchange = createPlayedNetwork({
 			size,
 			random: () => (generator.next() >>> 0) / (2 ** 32), // eslint-disable-line no-bitwise
-			passes: (from, to) => !(to === oneWay && from % 2 === 0) && !(state.isFrozen && (to === frozen || from === frozen)),
+			passes: (from, to) => !(to === halfReachableIndex && from % 2 === 0) && !(state.isFrozen && (to === frozenIndex || from === frozenIndex)),
 		});
 
 		const open = (index: number): Quarantine => {
@@ -57,8 +57,8 @@
 		return {open, state};
 	};
 
-	/** Daemons that don't refuse the request at the end of the bound, and those that refuse one beside it. */
-	const playCrashes = async (size: number): Promise<{missing: number[]; wrong: number[]}> => {
+	/** Returns the daemons that don't refuse the cause within the bound, and those that refuse another request. */
+	const simulateCrashes = async (size: number): Promise<{missing: number[]; wrong: number[]}> => {
 		const fleet = openFleet(size);
 		const daemons: Quarantine[] = [];
 		for (let index = 0; index < size - 1; index++) {
@@ -83,9 +83,9 @@
 	};
 
 	for (const size of sizes) {
-		it(`is known to all of ${size} daemons in the bound, also to one that starts, was frozen, or hears half of its peers`, async () => {
-			// Guards against repeats through daemons that the news of crashes doesn't reach.
-			assert.deepEqual(await playCrashes(size), {missing: [], wrong: []});
+		it(`refuses a cause on all of ${size} daemons within 3 s, including one that starts, one that was frozen and one that hears half of its peers`, async () => {
+			// Guards against retries through daemons that reports of the crashes don't reach.
+			assert.deepEqual(await simulateCrashes(size), {missing: [], wrong: []});
 		}).timeout(120_000);
 	}
 });
--- a/packages/router/src/test/quarantine/quarantine.test.ts
+++ b/packages/router/src/test/quarantine/quarantine.test.ts
@@ -2,7 +2,7 @@
 import {assert} from 'chai';
 import {createSilentLog, type Log} from '../../observability.js';
 import {
-	createQuarantine, type Quarantine, type QuarantineNews, type Refusal,
+	createQuarantine, type Quarantine, type QuarantineReport, type Refusal,
 } from '../../quarantine.js';
 
 const firstTermMs = 300_000;
@@ -69,17 +69,17 @@
 		}
 	};
 
-	const tell = (from: Quarantine, to: Quarantine): void => {
+	const sendReport = (from: Quarantine, to: Quarantine): void => {
 		to.heard('peer', from.report());
 	};
 
-	it('refuses a request whose crashes three daemons saw, on each of them', () => {
+	it('refuses a request on all daemons when three of them each observed a crash', () => {
 		const daemons = ['a', 'b', 'c', 'd'].map(name => open(name));
 		for (const daemon of daemons.slice(0, 3)) {
 			crash(daemon, 'bad');
 			for (const peer of daemons) {
 				if (peer !== daemon) {
-					tell(daemon, peer);
+					sendReport(daemon, peer);
 				}
 			}
 		}
@@ -89,47 +89,47 @@
 		assert.include(lines, 'Endpoint crashed under a refused request.');
 	});
 
-	it('lets a request be sent once when its term ends, by one daemon, and refuses it twice as long meanwhile', async () => {
-		// Guards against three more crashes each time that a refusal ends.
+	it('lets one daemon send a request once when its term ends, and refuses it meanwhile for twice as long', async () => {
+		// Guards against three more crashes whenever a refusal ends.
 		const [a, b] = [open('a'), open('b')];
 		crashThrice(a, 'bad');
-		tell(a, b);
+		sendReport(a, b);
 		clock.tick(firstTermMs + 1);
 		assert.deepEqual([a.standingOf('bad'), b.standingOf('bad')], ['due', 'due']);
 		assert.deepEqual(await Promise.all([a.claim('bad'), b.claim('bad')]), [true, false]);
 		assert.equal(a.standingOf('bad'), 'refused');
-		tell(a, b);
+		sendReport(a, b);
 		clock.tick(firstTermMs + 1);
 		assert.deepEqual([a.standingOf('bad'), b.standingOf('bad')], ['refused', 'refused']);
 		clock.tick(firstTermMs + 1);
 		assert.equal(b.standingOf('bad'), 'due');
 	});
 
-	it('takes a request again everywhere that has run to its end, whatever late news say', async () => {
+	it('accepts a completed request on all daemons, despite delayed reports of its refusal', async () => {
 		const [a, b] = [open('a'), open('b')];
 		crashThrice(a, 'mended');
-		tell(a, b);
-		const late: QuarantineNews = b.report();
+		sendReport(a, b);
+		const late: QuarantineReport = b.report();
 		clock.tick(firstTermMs + 1);
 		assert.isTrue(await a.claim('mended'));
 		a.ran('mended');
-		tell(a, b);
+		sendReport(a, b);
 		a.heard('late', late);
 		b.heard('late', late);
 		assert.deepEqual([a.standingOf('mended'), b.standingOf('mended')], ['clear', 'clear']);
 	});
 
-	it('takes a request again that a peer refuses though it has run here of late', () => {
-		// Guards against refusal of a popular request by daemons that saw only its crashes.
+	it('lifts a peer\'s refusal of a request that completed here recently', () => {
+		// Guards against refusing a popular request on daemons that observed only its crashes.
 		const [a, b] = [open('a'), open('b')];
 		b.ran('popular');
 		crashThrice(a, 'popular');
-		tell(a, b);
-		tell(b, a);
+		sendReport(a, b);
+		sendReport(b, a);
 		assert.deepEqual([a.standingOf('popular'), b.standingOf('popular')], ['clear', 'clear']);
 	});
 
-	it('is restored from the store after a restart', () => {
+	it('restores refusals from the store after a restart', () => {
 		const daemon = open('a');
 		daemon.restore([{digest: 'bad', term: 2, msLeft: 1000}]);
 		assert.equal(daemon.standingOf('bad'), 'refused');
@@ -137,7 +137,7 @@
 		assert.equal(daemon.standingOf('bad'), 'due');
 	});
 
-	it('tells who listens which request comes to be refused', () => {
+	it('calls listeners with each request that becomes refused', () => {
 		const daemon = open('a');
 		const refused: string[] = [];
 		daemon.onRefused(digest => {
@@ -148,13 +148,13 @@
 		assert.deepEqual(refused, ['bad', 'worse']);
 	});
 
-	it('forgets the refusal used longest ago beyond its bound, and says so', () => {
+	it('evicts the least recently used refusal beyond the maximum, and logs it', () => {
 		const daemon = open('a', 2);
 		for (const digest of ['one', 'two', 'three']) {
 			crashThrice(daemon, digest);
 		}
 
 		assert.deepEqual(['one', 'two', 'three'].map(digest => daemon.standingOf(digest)), ['clear', 'refused', 'refused']);
-		assert.include(lines, 'Refusal is forgotten, since there are too many.');
+		assert.include(lines, 'Refusal evicted, since there are too many.');
 	});
 });
--- a/packages/router/src/test/quarantine/refusal-store.test.ts
+++ b/packages/router/src/test/quarantine/refusal-store.test.ts
@@ -4,7 +4,7 @@
 import {type TableClient, type TableRow} from '../../platform.js';
 import {createRefusalStore, type Refusal} from '../../quarantine.js';
 
-/** A table in memory that several stores share. */
+/** Creates an in-memory table that several stores share. */
 function createTable() {
 	const rows = new Map<string, TableRow>();
 	let version = 0;
@@ -90,8 +90,8 @@
 
 	const refusal = (term = 1): Refusal => ({digest: 'bad', term, msLeft: 5000});
 
-	it('gives refusals to daemons that start, with the time that has passed', async () => {
-		// Guards against further crashes after a restart of all daemons.
+	it('passes stored refusals with their remaining time to daemons that start', async () => {
+		// Guards against more crashes by a refused request after a restart of all daemons.
 		open().save(refusal());
 		await clock.tickAsync(2000);
 		open().start();
@@ -101,8 +101,8 @@
 		assert.lengthOf(read, 1);
 	});
 
-	it('is read until it answers, and each second while no peer is heard', async () => {
-		// Guards against repeats through a daemon that its peers don't reach.
+	it('reads until it succeeds once, and every second while isolated', async () => {
+		// Guards against retries through a daemon that reports from peers don't reach.
 		table.setDown(true);
 		open().start();
 		await clock.tickAsync(3000);
@@ -115,7 +115,7 @@
 		assert.lengthOf(read, 4);
 	});
 
-	it('grants a term to one of several daemons, and none while it is down', async () => {
+	it('grants the claim of a term to one of several daemons, and to none while the table is down', async () => {
 		open().save(refusal());
 		await clock.tickAsync(1);
 		table.setDown(true);
@@ -125,7 +125,7 @@
 		assert.lengthOf(granted.filter(Boolean), 1);
 	});
 
-	it('writes a refusal once the table answers again', async () => {
+	it('stores a refusal once the table is back', async () => {
 		table.setDown(true);
 		open().save(refusal());
 		await clock.tickAsync(500);
@@ -134,7 +134,7 @@
 		assert.equal(table.rows.size, 1);
 	});
 
-	it('removes rows that can\'t be read or are long past', async () => {
+	it('removes rows that are invalid or long expired', async () => {
 		await table.client.transact([{key: 'refused/broken', value: 'no JSON'}, {key: 'refused/old', value: JSON.stringify({term: 1, dueMs: -9_000_000})}]);
 		open().save(refusal());
 		await clock.tickAsync(1);
--- a/packages/router/src/test/quotas/fleet-quota.test.ts
+++ b/packages/router/src/test/quotas/fleet-quota.test.ts
@@ -5,12 +5,12 @@
 import {type PeerReport} from '../../peers.js';
 import {createFleetQuota} from '../../quotas.js';
 import {
-	allowed, type Asked, mostInWindow, oracleAdmits, type Played, report, windowMs, workspace,
-} from './played-quota.js';
+	maxAllowedUnits, type SimulatedRequest, maxUnitsInWindow, admittedByOracle, type SimulationResult, report, windowMs, workspace,
+} from './simulated-quota.js';
 
 const stepMs = 10;
 const reportEveryMs = 200;
-/** Units that a fleet starts with after a kill: half of those by which it may be over. */
+/** Initial units after a restart of the fleet: half of the tolerated excess. */
 const restartUnits = 55_000;
 
 describe('createFleetQuota', () => {
@@ -24,13 +24,13 @@
 		clock.uninstall();
 	});
 
-	/** A load of one workspace over several daemons, drawn by a seed; `cut` daemons neither hear nor are heard from the middle on. */
-	const makeLoad = (seed: number, daemons: number, perSecond: number, spread: number): Asked[] => {
+	/** Creates a random load of one workspace over several daemons. */
+	const makeLoad = (seed: number, daemons: number, perSecond: number, spread: number): SimulatedRequest[] => {
 		const random = xoroshiro128plus(seed);
 		const draw = () => (random.next() >>> 0) / (2 ** 32); // eslint-disable-line no-bitwise
 		const weights = Array.from({length: daemons}, () => draw() ** spread);
 		const total = weights.reduce((sum, weight) => sum + weight, 0);
-		const load: Asked[] = [];
+		const load: SimulatedRequest[] = [];
 		for (let at = 0; at < 30_000; at += -Math.log(1 - draw()) / perSecond * 1000) {
 			let left = draw() * total;
 			const daemon = weights.findIndex(weight => {
@@ -43,17 +43,17 @@
 		return load;
 	};
 
-	/** What befalls the daemons: which are cut off when, and when all are killed and start again. */
-	type Troubles = {isCut?: (daemon: number, at: number) => boolean; killedAt?: number};
+	/** Which daemons are partitioned when, and when all are killed and restarted. */
+	type Faults = {isCut?: (daemon: number, at: number) => boolean; killedAt?: number};
 
-	const play = (load: readonly Asked[], limits: Workspace, daemons: number, {isCut = () => false, killedAt}: Troubles = {}): Played => {
+	const simulate = (load: readonly SimulatedRequest[], limits: Workspace, daemons: number, {isCut = () => false, killedAt}: Faults = {}): SimulationResult => {
 		const due = new Set<number>();
-		const toldAt = Array.from({length: daemons}, () => 0);
+		const reportedAt = Array.from({length: daemons}, () => 0);
 		const open = (index: number, startsFull: boolean) => createFleetQuota({
 			startsFull, onUnreported: () => due.add(index), startUnits: restartUnits, daemons: () => daemons, silenceMs: () => 1000, goneMs: () => windowMs, newsMs: () => reportEveryMs,
 		});
 		const quotas = Array.from({length: daemons}, (_item, index) => open(index, true));
-		const played: Played = {admitted: [], refused: []};
+		const played: SimulationResult = {admitted: [], refused: []};
 		let next = 0;
 		for (let at = 0; at < 30_000; at += stepMs) {
 			clock.tick(stepMs);
@@ -69,19 +69,19 @@
 			}
 
 			for (const [from, quota] of quotas.entries()) {
-				// Daemons don't report at the same moment.
-				const isDue = due.has(from) && at - toldAt[from] >= 40;
+				// Daemons report at different moments.
+				const isDue = due.has(from) && at - reportedAt[from] >= 40;
 				if (!isDue && (at / stepMs) % (reportEveryMs / stepMs) !== (from * 3) % (reportEveryMs / stepMs)) {
 					continue;
 				}
 
 				due.delete(from);
-				toldAt[from] = at;
+				reportedAt[from] = at;
 
-				const told = report(`d${from}`, quota, at);
+				const sentReport = report(`d${from}`, quota, at);
 				for (const [to, other] of quotas.entries()) {
 					if (to !== from && !isCut(from, at) && !isCut(to, at)) {
-						other.heard(told);
+						other.heard(sentReport);
 					}
 				}
 			}
@@ -92,49 +92,49 @@
 
 	for (const seed of [1, 2, 3, 4, 5, 6]) {
 		for (const [rate, perSecond] of [[29_000, 20], [129_000, 60], [60_000, 100]]) {
-			it(`keeps nine daemons within ${rate} tokens a second when ${perSecond} requests a second come, seed ${seed}`, () => {
+			it(`keeps nine daemons within ${rate} tokens per second at ${perSecond} requests per second, seed ${seed}`, () => {
 				const limits = workspace(rate);
-				const {admitted} = play(makeLoad(seed, 9, perSecond, 2), limits, 9);
-				assert.isAtMost(mostInWindow(admitted), allowed(limits, 110_000));
+				const {admitted} = simulate(makeLoad(seed, 9, perSecond, 2), limits, 9);
+				assert.isAtMost(maxUnitsInWindow(admitted), maxAllowedUnits(limits, 110_000));
 			});
 		}
 	}
 
 	for (const seed of [11, 12, 13]) {
-		it(`keeps within the quota when three of nine daemons are cut off, seed ${seed}`, () => {
-			// Three daemons neither hear nor are heard from the fifth second on, and
-			// callers of one workspace press on all nine. What the cut ones admit counts.
+		it(`keeps within the quota when three of nine daemons are partitioned, seed ${seed}`, () => {
+			// Three daemons neither send nor receive reports after the fifth second, while callers of
+			// one workspace load all nine. What the partitioned daemons admit counts too.
 			const limits = workspace(60_000);
-			const {admitted} = play(makeLoad(seed, 9, 80, 1), limits, 9, {isCut: (daemon, at) => daemon < 3 && at > 5000});
-			assert.isAtMost(mostInWindow(admitted), allowed(limits, 110_000));
+			const {admitted} = simulate(makeLoad(seed, 9, 80, 1), limits, 9, {isCut: (daemon, at) => daemon < 3 && at > 5000});
+			assert.isAtMost(maxUnitsInWindow(admitted), maxAllowedUnits(limits, 110_000));
 		});
 
 		it(`keeps within the quota when all daemons are killed in the middle of a window, seed ${seed}`, () => {
-			// Nobody remembers what was spent before the kill, and callers press on.
+			// No daemon knows what was spent before, and the load continues.
 			const limits = workspace(60_000);
-			const {admitted} = play(makeLoad(seed, 9, 80, 1), limits, 9, {killedAt: 12_000});
-			assert.isAtMost(mostInWindow(admitted), allowed(limits, 110_000));
+			const {admitted} = simulate(makeLoad(seed, 9, 80, 1), limits, 9, {killedAt: 12_000});
+			assert.isAtMost(maxUnitsInWindow(admitted), maxAllowedUnits(limits, 110_000));
 		});
 
-		it(`refuses next to nothing that one bucket would admit, seed ${seed}`, () => {
-			// A workspace uses 55% of its rate, most of it through two of nine daemons.
+		it(`admits at least 99% of the requests that a single bucket would admit, seed ${seed}`, () => {
+			// The workspace uses 55% of its rate, mostly through two of nine daemons.
 			const limits = workspace(60_000);
 			const load = makeLoad(seed, 9, 3.7, 4);
-			const {admitted} = play(load, limits, 9);
-			assert.isAtLeast(admitted.length, oracleAdmits(load, limits).length * 0.99);
+			const {admitted} = simulate(load, limits, 9);
+			assert.isAtLeast(admitted.length, admittedByOracle(load, limits).length * 0.99);
 		});
 
-		it(`admits most of the rate when a workspace sends four times that, seed ${seed}`, () => {
+		it(`admits at least 90% of rate and burst when a workspace sends four times its rate, seed ${seed}`, () => {
 			const limits = workspace(60_000);
 			const load = makeLoad(seed, 9, 28, 2);
-			const {admitted} = play(load, limits, 9);
+			const {admitted} = simulate(load, limits, 9);
 			const units = admitted.reduce((sum, asked) => sum + asked.units, 0);
 			assert.isAtLeast(units, 0.9 * ((30 * limits.rate) + limits.burst));
 		});
 	}
 
-	it('lets small requests through a pressed workspace while anything is left', () => {
-		// Orders of 200 units were refused over a quota whose bucket held 6,000.
+	it('admits small requests from a contended bucket while any units are left', () => {
+		// Guards against refusing orders of 200 units although the bucket holds 6,000.
 		const quota = createFleetQuota({
 			startsFull: true, onUnreported: () => undefined, startUnits: 0, daemons: () => 9, silenceMs: () => 1000, goneMs: () => windowMs, newsMs: () => reportEveryMs,
 		});
@@ -146,8 +146,8 @@
 		assert.isTrue(quota.admit(limits, 200).granted);
 	});
 
-	it('counts of a peer that was away for long no more than a window can hold', () => {
-		// A peer that was cut off for 20 s came back with all that it had ever admitted.
+	it('limits the units deducted for a peer\'s long silence to those of a window', () => {
+		// Guards against deducting all units that a peer ever admitted when it reports again after 20 s of partition.
 		const quota = createFleetQuota({
 			startsFull: true, onUnreported: () => undefined, startUnits: 0, daemons: () => 2, silenceMs: () => 1000, goneMs: () => windowMs,
 		});
@@ -164,9 +164,9 @@
 		assert.isAtLeast(level(), 97_000);
 	});
 
-	it('assumes spending of a silent peer between two limits, which follow the size of the fleet', () => {
-		// In a large fleet a live peer is heard less often; what it is assumed to spend
-		// meanwhile would be refused to callers.
+	it('assumes use by a silent peer between two limits, which depend on the size of the fleet', () => {
+		// Guards against refusals in large fleets, where live peers report less often and units
+		// would be deducted for them in between.
 		let silenceMs = 5000;
 		const quota = createFleetQuota({
 			startsFull: true, onUnreported: () => undefined, startUnits: 0, daemons: () => 2, silenceMs: () => silenceMs, goneMs: () => silenceMs + 7000,
@@ -179,7 +179,7 @@
 		assert.equal(level(), 10_000);
 		clock.tick(5000);
 		assert.equal(level(), 15_000);
-		// The peer may spend at the whole rate, so nothing is left of the refill.
+		// The peer may use the whole rate, so nothing is left of the refill.
 		clock.tick(1000);
 		assert.equal(level(), 15_000);
 		quota.heard(usage(0));
--- a/packages/router/src/test/quotas/large-fleet-quota.test.ts
+++ b/packages/router/src/test/quotas/large-fleet-quota.test.ts
@@ -4,28 +4,28 @@
 import {type Workspace} from '../../fleet.js';
 import {createFleetQuota, type FleetQuota} from '../../quotas.js';
 import {
-	allowed, type Asked, mostInWindow, oracleAdmits, type Played, report, windowMs, workspace,
-} from './played-quota.js';
+	maxAllowedUnits, type SimulatedRequest, maxUnitsInWindow, admittedByOracle, type SimulationResult, report, windowMs, workspace,
+} from './simulated-quota.js';
 
 const stepMs = 20;
 const reportEveryMs = 200;
 const peersPerRound = 16;
 const lengthMs = 24_000;
 const extraUnits = 110_000;
-/** Share of the units that one bucket would admit. */
+/** Fraction of the units that a single bucket would admit. */
 const minAdmittedShare = 0.9;
 
 type Load = {
 	daemons: number;
 	/** Daemons that the workspace's callers reach. */
 	users: number;
-	/** Units asked for a second, as a multiple of the rate, up to and after `pressedFrom`. */
-	calm: number;
-	pressed: number;
-	pressedFrom: number;
+	/** Units requested per second, as multiples of the rate, before and after `changesAt`. */
+	demandBefore: number;
+	demandAfter: number;
+	changesAt: number;
 };
 
-const unitsOf = (requests: readonly Asked[]): number => requests.reduce((sum, {units}) => sum + units, 0);
+const unitsOf = (requests: readonly SimulatedRequest[]): number => requests.reduce((sum, {units}) => sum + units, 0);
 
 describe('createFleetQuota in a large fleet', () => {
 	let clock: FakeTimers.Clock;
@@ -38,12 +38,12 @@
 		clock.uninstall();
 	});
 
-	const makeLoad = (seed: number, {rate}: Workspace, {users, calm, pressed, pressedFrom}: Load): Asked[] => {
+	const makeLoad = (seed: number, {rate}: Workspace, {users, demandBefore, demandAfter, changesAt}: Load): SimulatedRequest[] => {
 		const random = xoroshiro128plus(seed);
 		const draw = () => (random.next() >>> 0) / (2 ** 32); // eslint-disable-line no-bitwise
 		const weights = Array.from({length: users}, () => 0.2 + draw());
 		const total = weights.reduce((sum, weight) => sum + weight, 0);
-		const load: Asked[] = [];
+		const load: SimulatedRequest[] = [];
 		for (let at = 0; at < lengthMs;) {
 			const units = Math.round(1000 + (16_000 * draw()));
 			let left = draw() * total;
@@ -52,20 +52,20 @@
 				return left < 0;
 			});
 			load.push({at, daemon: Math.max(0, daemon), units});
-			const perMs = rate * (at < pressedFrom ? calm : pressed) / 9000 / 1000;
+			const perMs = rate * (at < changesAt ? demandBefore : demandAfter) / 9000 / 1000;
 			at += -Math.log(1 - draw()) / perMs;
 		}
 
 		return load;
 	};
 
-	/** Plays a load over daemons that report to 16 peers a round, as the exchange does. */
-	const play = (load: readonly Asked[], limits: Workspace, {daemons}: Load): Played => {
+	/** Simulates a load over daemons that report to 16 peers per round, as the peer exchange does. */
+	const simulate = (load: readonly SimulatedRequest[], limits: Workspace, {daemons}: Load): SimulationResult => {
 		const rounds = Math.max(1, Math.ceil((daemons - 1) / peersPerRound));
 		const everyMs = reportEveryMs * Math.min(2.5, Math.sqrt(rounds));
 		const silenceMs = Math.max(1000, rounds * everyMs * 2);
 		const due = new Set<number>();
-		/** Daemons that each daemon tells before their turn. */
+		/** Peers to which each daemon reports before their turn. */
 		const urgent = Array.from({length: daemons}, () => new Set<number>());
 		const numberOf = (name: string): number => Number(name.slice(1));
 		const open = (index: number): FleetQuota => createFleetQuota({
@@ -81,7 +81,7 @@
 		const quotas = Array.from({length: daemons}, (_item, index) => open(index));
 		const queues = quotas.map((_quota, from) => Array.from({length: daemons - 1}, (_item, index) => (from + index + 1) % daemons));
 		const sentAt = quotas.map((_quota, index) => -((index * 37) % everyMs));
-		const played: Played = {admitted: [], refused: []};
+		const played: SimulationResult = {admitted: [], refused: []};
 		let next = 0;
 		for (let at = 0; at < lengthMs; at += stepMs) {
 			clock.tick(stepMs);
@@ -96,7 +96,7 @@
 					continue;
 				}
 
-				const told = report(`d${from}`, quota, at + 1);
+				const sentReport = report(`d${from}`, quota, at + 1);
 				const receivers = new Set(urgent[from]);
 				urgent[from].clear();
 				if (isRound) {
@@ -110,7 +110,7 @@
 
 				for (const to of receivers) {
 					if (to !== from) {
-						quotas[to].heard(told);
+						quotas[to].heard(sentReport);
 					}
 				}
 			}
@@ -119,8 +119,8 @@
 		return played;
 	};
 
-	it('announces first uses of many workspaces to all peers at most every three seconds', () => {
-		// Retries reach daemons that haven't seen their workspace; each would cost a report to every peer.
+	it('announces first uses of many workspaces to all peers at most once per three seconds', () => {
+		// Guards against a report to every peer for each retry that reaches a daemon new to its workspace.
 		let announcements = 0;
 		const quota = createFleetQuota({
 			startsFull: true, onUnreported: () => undefined, startUnits: 0, daemons: () => 200, silenceMs: () => 5000, goneMs: () => 12_000,
@@ -139,34 +139,34 @@
 
 	const loads: Record<string, Load> = {
 		'7 daemons': {
-			daemons: 7, users: 7, calm: 0.55, pressed: 4.2, pressedFrom: 6000,
+			daemons: 7, users: 7, demandBefore: 0.55, demandAfter: 4.2, changesAt: 6000,
 		},
 		'70 daemons': {
-			daemons: 70, users: 30, calm: 0.55, pressed: 4.2, pressedFrom: 6000,
+			daemons: 70, users: 30, demandBefore: 0.55, demandAfter: 4.2, changesAt: 6000,
 		},
 		'200 daemons': {
-			daemons: 200, users: 60, calm: 0.55, pressed: 4.2, pressedFrom: 6000,
+			daemons: 200, users: 60, demandBefore: 0.55, demandAfter: 4.2, changesAt: 6000,
 		},
 		'23 daemons at 1.3 times the rate': {
-			daemons: 23, users: 18, calm: 1.3, pressed: 1.3, pressedFrom: 0,
+			daemons: 23, users: 18, demandBefore: 1.3, demandAfter: 1.3, changesAt: 0,
 		},
 		'23 daemons at twice the rate': {
-			daemons: 23, users: 18, calm: 2, pressed: 2, pressedFrom: 0,
+			daemons: 23, users: 18, demandBefore: 2, demandAfter: 2, changesAt: 0,
 		},
-		'200 daemons, pressed from the start': {
-			daemons: 200, users: 60, calm: 4.2, pressed: 4.2, pressedFrom: 0,
+		'200 daemons at 4.2 times the rate from the start': {
+			daemons: 200, users: 60, demandBefore: 4.2, demandAfter: 4.2, changesAt: 0,
 		},
 	};
 
 	for (const [name, load] of Object.entries(loads)) {
 		for (const rate of [29_000, 150_000]) {
 			for (const seed of [1, 2, 3]) {
-				it(`keeps ${name} within ${rate} units a second, seed ${seed}`, () => {
+				it(`keeps ${name} within ${rate} units per second and admits at least 90% of what a single bucket would, seed ${seed}`, () => {
 					const limits = workspace(rate);
 					const asked = makeLoad(seed, limits, load);
-					const {admitted} = play(asked, limits, load);
-					assert.isAtMost(mostInWindow(admitted), allowed(limits, extraUnits));
-					assert.isAtLeast(unitsOf(admitted), minAdmittedShare * unitsOf(oracleAdmits(asked, limits)));
+					const {admitted} = simulate(asked, limits, load);
+					assert.isAtMost(maxUnitsInWindow(admitted), maxAllowedUnits(limits, extraUnits));
+					assert.isAtLeast(unitsOf(admitted), minAdmittedShare * unitsOf(admittedByOracle(asked, limits)));
 				});
 			}
 		}
--- a/packages/router/src/test/quotas/played-quota.ts
+++ b/packages/router/src/test/quotas/simulated-quota.ts
@@ -1,13 +1,13 @@
-/** What the tests of quotas share: a workspace, reports of its use, and the measures of a played load. */
+/** Helpers for tests of quotas: a workspace, reports of its use, and measures of a simulated load. */
 import {type Workspace} from '../../fleet.js';
 import {type PeerReport} from '../../peers.js';
 import {type FleetQuota} from '../../quotas.js';
 import {reportOf} from '../peers/empty-report.js';
 
-/** One request of a played load. */
-export type Asked = {at: number; daemon: number; units: number};
+/** One request of a simulated load. */
+export type SimulatedRequest = {at: number; daemon: number; units: number};
 
-export type Played = {admitted: Asked[]; refused: Asked[]};
+export type SimulationResult = {admitted: SimulatedRequest[]; refused: SimulatedRequest[]};
 
 export const windowMs = 8000;
 
@@ -17,8 +17,8 @@
 
 export const report = (daemon: string, quota: FleetQuota, number: number): PeerReport => reportOf(daemon, {number, usage: quota.report()});
 
-/** Units admitted in the worst window. */
-export function mostInWindow(admitted: readonly Asked[]): number {
+/** Maximum number of units admitted in one window. */
+export function maxUnitsInWindow(admitted: readonly SimulatedRequest[]): number {
 	let most = 0;
 	let sum = 0;
 	let first = 0;
@@ -35,11 +35,11 @@
 	return most;
 }
 
-/** Units that the rule allows in a window. */
-export const allowed = ({rate, burst}: Workspace, slack: number): number => (((rate * windowMs / 1000) + burst) * 1.1) + slack;
+/** Maximum number of units that the quota allows in one window. */
+export const maxAllowedUnits = ({rate, burst}: Workspace, slack: number): number => (((rate * windowMs / 1000) + burst) * 1.1) + slack;
 
-/** Requests that one bucket for the whole fleet would have admitted. */
-export function oracleAdmits(load: readonly Asked[], {rate, burst}: Workspace): Asked[] {
+/** Requests that a single bucket for the whole fleet would admit. */
+export function admittedByOracle(load: readonly SimulatedRequest[], {rate, burst}: Workspace): SimulatedRequest[] {
 	let level = burst;
 	let at = 0;
 	return load.filter(asked => {
