--- a/packages/router/src/lib/peers/datagram-transport.ts
+++ b/packages/router/src/lib/peers/datagram-transport.ts
@@ -1,11 +1,11 @@
-/** Carries datagrams between daemons by UDP. */
+/** Sends and receives datagrams between daemons over UDP. */
 import {type Buffer} from 'node:buffer';
 import {createSocket} from 'node:dgram';
 import {type Log} from '../observability/log.js';
 
 /** An open transport. */
 export type DatagramTransport = {
-	/** Resolves when the datagram was handed to the system, even if sending failed. */
+	/** Resolves once the operating system has taken the datagram, or sending it has failed. */
 	send: (content: Buffer, address: string) => Promise<void>;
 	close: () => Promise<void>;
 };
@@ -28,7 +28,7 @@
 		socket.bind(bind.port, bind.host, resolve);
 	});
 	socket.on('error', error => {
-		log.warn('Socket for reports failed.', {err: error});
+		log.warn('UDP socket for peer reports failed.', {err: error});
 	});
 	socket.on('message', onDatagram);
 
@@ -38,7 +38,7 @@
 			return new Promise(resolve => {
 				socket.send(content, Number(port), host, error => {
 					if (error !== null) {
-						log.warn('Report could not be sent.', {peer: host, err: error});
+						log.warn('Report could not be sent to a peer.', {peer: host, err: error});
 					}
 
 					resolve();
--- a/packages/router/src/lib/peers/peer-directory.ts
+++ b/packages/router/src/lib/peers/peer-directory.ts
@@ -26,7 +26,7 @@
 /** The directory. */
 export type PeerDirectory = {
 	start: () => void;
-	/** Removes this daemon's entry, for a planned stop. */
+	/** Removes this daemon's entry on a planned stop. */
 	leave: () => Promise<void>;
 };
 
@@ -49,7 +49,7 @@
 		try {
 			return entrySchema.parse(JSON.parse(value));
 		} catch (error) {
-			log.warn('Entry of a daemon can\'t be read.', {err: error});
+			log.warn('Peer directory holds an invalid entry.', {err: error});
 			return undefined;
 		}
 	};
@@ -63,7 +63,7 @@
 		}
 	};
 
-	const round = async (): Promise<void> => {
+	const poll = async (): Promise<void> => {
 		let pauseMs = options.everyMs();
 		try {
 			if (!isWritten) {
@@ -72,20 +72,20 @@
 
 			await read();
 		} catch (error) {
-			log.debug('Directory of daemons could not be read or written.', {err: error});
+			log.debug('Peer directory could not be read or written.', {err: error});
 			pauseMs = retryMs;
 		}
 
 		if (!isClosed) {
 			timer = setTimeout(() => {
-				void round();
+				void poll();
 			}, pauseMs);
 		}
 	};
 
 	return {
 		start() {
-			void round();
+			void poll();
 		},
 		async leave() {
 			isClosed = true;
@@ -93,7 +93,7 @@
 			try {
 				await table.transact([{key, value: null}]);
 			} catch (error) {
-				log.debug('Own entry could not be taken out of the directory; peers forget it by silence.', {err: error});
+				log.debug('Own entry could not be removed from the peer directory; peers forget this daemon after a period of silence.', {err: error});
 			}
 		},
 	};
--- a/packages/router/src/lib/peers/peer-exchange.ts
+++ b/packages/router/src/lib/peers/peer-exchange.ts
@@ -1,17 +1,17 @@
 /**
- * Exchanges state reports with peers by UDP. Each report replaces the one before, so
+ * Exchanges state reports with peers over UDP. Each report replaces the previous one, so
  * lost datagrams need no retransmission.
  *
- * A round reaches a limited number of peers, those first that have waited longest. Rounds of
- * a large fleet are further apart, since a report is worth less the later it comes. The time
- * in which rounds reach all peers thus grows with the fleet; what readers call stale follows
- * from it, see `refreshMs`.
+ * A round reaches a limited number of peers, those first that have waited longest. In a large
+ * fleet the interval between rounds is longer, because a late report is worth less. The time
+ * in which rounds reach all peers therefore grows with the fleet, and staleness thresholds are
+ * derived from it, see `refreshMs`.
  */
 import {type Buffer} from 'node:buffer';
 import {type FeedRelay} from '../fleet/feed-relay.js';
 import {type Log} from '../observability/log.js';
 import {orderedBy} from '../routing/rendezvous.js';
-import {createNewsLog} from './news-log.js';
+import {createUpdateLog} from './update-log.js';
 import {type DatagramTransport, type OpenDatagramTransport, openUdpTransport} from './datagram-transport.js';
 import {maxReportedParts, maxReportedPlacements, type PeerReport} from './peer-report.js';
 import {decodeReport, encodeReport} from './report-codec.js';
@@ -26,8 +26,8 @@
 /** Report contents, without the fields that the exchange adds. */
 export type OwnReport = Omit<PeerReport, 'daemon' | 'incarnation' | 'number' | 'address' | 'isLeaving' | 'dataCentre' | 'relays'>;
 
-/** What a report carries to one group of peers beside its usual contents. */
-type Extra = Pick<PeerReport, 'isLeaving' | 'relays'>;
+/** Report fields that depend on the recipients. */
+type SendFields = Pick<PeerReport, 'isLeaving' | 'relays'>;
 
 /** Options of {@link createPeerExchange}. */
 export type PeerExchangeOptions = {
@@ -35,11 +35,11 @@
 	incarnation: number;
 	dataCentre: string;
 	bind: {host: string; port: number};
-	/** Maximum time between two rounds of reports while each reaches all peers, in milliseconds. */
+	/** Maximum interval between rounds while each round reaches all peers, in milliseconds. */
 	everyMs: number;
 	/** Lower bound of {@link PeerExchange.silenceMs}. */
 	minSilenceMs: number;
-	/** Returns the current report contents; `kept` and `placed` hold what is new since the last call. */
+	/** Returns the current report contents; `kept` and `placed` hold only what is new since the last call. */
 	compose: () => OwnReport;
 	/** Called for each new report. */
 	onReport: (report: PeerReport) => void;
@@ -54,31 +54,31 @@
 	start: () => Promise<void>;
 	/** Adds a peer's address from the directory; reports carry it as well. */
 	learn: (daemon: string, address: string) => void;
-	/** Latest reports of peers that are not away. */
+	/** Latest reports of peers that are not silent. */
 	live: () => HeardReport[];
-	/** Latest reports of all peers that are not yet forgotten, including away ones. */
+	/** Latest reports of all peers that are not yet forgotten, including silent ones. */
 	known: () => ReadonlyMap<string, HeardReport>;
-	/** Peers that share the reading of the store with this daemon, and are not away: all, or in a large fleet those of its data centre. */
+	/** Peers that share feed reads with this daemon and are not silent: all, or in a large fleet those of its data centre. */
 	group: () => string[];
-	/** Sends a report with a relay to the group, including peers that are away; relays of one turn of the event loop share a report. */
+	/** Sends a report with a relayed store answer to the group, including silent peers; relays of one turn of the event loop share a report. */
 	relay: (table: string, relay: FeedRelay) => void;
-	/** Daemons with a known address, including this one; complete once the directory was read. */
+	/** Number of daemons with a known address, including this one; complete once the directory was read. */
 	fleetSize: () => number;
-	/** Peers that one round of reports doesn't reach. */
+	/** Number of peers that one round doesn't reach. */
 	peersBeyondRound: () => number;
-	/** Tells peers that this process stops, and closes the transport. */
+	/** Tells peers that this process is stopping, and closes the transport. */
 	leave: () => Promise<void>;
-	/** Sends a report to all peers, for what each must know at once; resolves when it was handed to the system. */
+	/** Sends a report to all peers at once, for urgent changes; resolves once the operating system has taken it. */
 	sendNow: () => Promise<void>;
-	/** Sends a report to one round's peers, unless one was sent within the minimum interval. */
+	/** Sends the next round now, unless a report was sent within the minimum interval. */
 	sendSoon: () => void;
-	/** Rounds of reports that reach all peers. */
+	/** Number of rounds that reach all peers. */
 	rounds: () => number;
-	/** Sends a report to these peers, or all, before their turn; calls within the minimum interval share one. */
+	/** Sends a report to these peers, or all, ahead of their turn; calls within the minimum interval share a report. */
 	tellSoon: (daemons: readonly string[] | 'all') => void;
-	/** Maximum time between two reports from one live peer, if none is lost. */
+	/** Maximum interval between two reports from a live peer, if none is lost. */
 	refreshMs: () => number;
-	/** Silence after which a peer counts as away. */
+	/** Time without a report after which a peer counts as silent. */
 	silenceMs: () => number;
 };
 
@@ -89,47 +89,47 @@
 	sentNumber: number;
 };
 
-/** Fleets up to this size form one group, which shares the reading of the store. */
+/** Fleets up to this size form one group, which shares feed reads. */
 const maxGroupSize = 32;
 
-/** Lower bound of the silence after which a peer is forgotten. */
+/** Lower bound of the time without a report after which a peer is forgotten. */
 const minForgetMs = 60_000;
 
 /** Minimum interval between unscheduled reports. */
-const minPauseMs = 40;
+const minSendIntervalMs = 40;
 
 /** Fan-out limit, so that the cost of a round doesn't grow with the fleet. */
 const maxPeersPerRound = 16;
 
-/** Upper bound of the factor by which rounds of a large fleet are further apart. */
-const maxStretch = 2.5;
+/** Upper bound of the factor by which the interval between rounds grows with the fleet. */
+const maxIntervalFactor = 2.5;
 
-/** Refresh intervals without a report after which a peer counts as away. */
-const refreshesUntilAway = 3;
+/** Refresh intervals without a report after which a peer counts as silent. */
+const refreshesUntilSilent = 3;
 
-/** More peers that go away in one round share one log line. */
-const maxAwayLines = 8;
+/** If more peers than this become silent in one round, they share one log line. */
+const maxSilentLogLines = 8;
 
-/** Creates an exchange; it is silent until started. */
+/** Creates an exchange; it sends nothing until started. */
 export function createPeerExchange(options: PeerExchangeOptions): PeerExchange {
 	const {name, incarnation, log} = options;
 	const address = `${options.bind.host}:${options.bind.port}`;
-	/** Peers to send to; those first whose last scheduled report is the oldest. */
+	/** Peers to send to, ordered by their last scheduled report, oldest first. */
 	const queue = new Map<string, Peer>();
-	/** Peers that no round has reached yet. */
-	let unreached = new Set<string>();
+	/** Peers that no round has included yet. */
+	let newPeers = new Set<string>();
 	const reports = new Map<string, HeardReport>();
-	/** Peers that were logged as away. */
-	const away = new Set<string>();
-	const keptNews = createNewsLog<PeerReport['kept'][number]>(maxReportedParts);
-	const placedNews = createNewsLog<PeerReport['placed'][number]>(maxReportedPlacements);
+	/** Peers that were logged as silent. */
+	const silentPeers = new Set<string>();
+	const keptUpdates = createUpdateLog<PeerReport['kept'][number]>(maxReportedParts);
+	const placedUpdates = createUpdateLog<PeerReport['placed'][number]>(maxReportedPlacements);
 	let transport: DatagramTransport | undefined;
 	let timer: NodeJS.Timeout | undefined;
 	let number = 0;
-	let announcement: Promise<void> | undefined;
+	let pendingBroadcast: Promise<void> | undefined;
 	let relays: PeerReport['relays'] = [];
-	/** Peers that are told before their turn. */
-	let urgent = new Set<string>();
+	/** Peers that get a report ahead of their turn. */
+	let urgentPeers = new Set<string>();
 	let urgentTimer: NodeJS.Timeout | undefined;
 	let urgentSentAt = Number.NEGATIVE_INFINITY;
 	let hasLeft = false;
@@ -137,20 +137,20 @@
 
 	const rounds = (): number => Math.max(1, Math.ceil(queue.size / maxPeersPerRound));
 
-	const intervalMs = (): number => options.everyMs * Math.min(maxStretch, Math.sqrt(rounds()));
+	const intervalMs = (): number => options.everyMs * Math.min(maxIntervalFactor, Math.sqrt(rounds()));
 
 	const refreshMs = (): number => Math.round(rounds() * intervalMs());
 
-	const silenceMs = (): number => Math.max(options.minSilenceMs, refreshMs() * refreshesUntilAway);
+	const silenceMs = (): number => Math.max(options.minSilenceMs, refreshMs() * refreshesUntilSilent);
 
-	const isAway = (heard: HeardReport): boolean => performance.now() - heard.heardAt > silenceMs();
+	const isSilent = (heard: HeardReport): boolean => performance.now() - heard.heardAt > silenceMs();
 
 	const learn = (daemon: string, peerAddress: string): void => {
 		if (daemon !== name) {
 			const known = queue.get(daemon);
 			const sentNumber = known?.sentNumber ?? number;
 			if (known === undefined) {
-				unreached.add(daemon);
+				newPeers.add(daemon);
 			}
 
 			queue.set(daemon, {address: peerAddress, learntAt: performance.now(), sentNumber});
@@ -166,7 +166,7 @@
 		try {
 			report = decodeReport(content);
 		} catch (error) {
-			log.warn('Datagram is no report and is dropped.', {bytes: content.length, err: error});
+			log.warn('Datagram is not a valid report and is dropped.', {bytes: content.length, err: error});
 			return;
 		}
 
@@ -175,9 +175,9 @@
 			return;
 		}
 
-		const wasAway = away.delete(report.daemon);
-		if (known?.report.incarnation !== report.incarnation || wasAway) {
-			log.info('Peer is heard.', {peer: report.daemon, incarnation: report.incarnation, ms: known && Math.round(performance.now() - known.heardAt)});
+		const wasSilent = silentPeers.delete(report.daemon);
+		if (known?.report.incarnation !== report.incarnation || wasSilent) {
+			log.info('Peer sends reports.', {peer: report.daemon, incarnation: report.incarnation, ms: known && Math.round(performance.now() - known.heardAt)});
 		}
 
 		reports.set(report.daemon, {report, heardAt: performance.now()});
@@ -185,30 +185,30 @@
 		if (report.isLeaving) {
 			reports.delete(report.daemon);
 			queue.delete(report.daemon);
-			log.info('Peer leaves.', {peer: report.daemon});
+			log.info('Peer is stopping.', {peer: report.daemon});
 		}
 
 		options.onReport(report);
 	};
 
-	/** Returns an encoder of one report; peers that lack the same news share a datagram. */
-	const createEncoder = (extra: Extra): (peer: Peer) => Buffer => {
+	/** Returns an encoder of one report; peers that lack the same updates share a datagram. */
+	const createEncoder = (extra: SendFields): (peer: Peer) => Buffer => {
 		const {kept, placed, ...state} = options.compose();
-		keptNews.add(kept, number);
-		placedNews.add(placed, number);
+		keptUpdates.add(kept, number);
+		placedUpdates.add(placed, number);
 		const contents = new Map<string, Buffer>();
 		return ({sentNumber}) => {
-			const news = {kept: keptNews.since(sentNumber), placed: placedNews.since(sentNumber)};
-			const key = `${news.kept.length} ${news.placed.length}`;
+			const updates = {kept: keptUpdates.since(sentNumber), placed: placedUpdates.since(sentNumber)};
+			const key = `${updates.kept.length} ${updates.placed.length}`;
 			const content = contents.get(key) ?? encodeReport({
-				daemon: name, incarnation, number, address, dataCentre: options.dataCentre, ...extra, ...state, ...news,
+				daemon: name, incarnation, number, address, dataCentre: options.dataCentre, ...extra, ...state, ...updates,
 			});
 			contents.set(key, content);
 			return content;
 		};
 	};
 
-	const send = async (peers: ReadonlyArray<[string, Peer]>, extra: Partial<Extra> = {}): Promise<void> => {
+	const send = async (peers: ReadonlyArray<[string, Peer]>, extra: Partial<SendFields> = {}): Promise<void> => {
 		if (transport === undefined) {
 			return;
 		}
@@ -225,19 +225,19 @@
 		await Promise.all(sends);
 	};
 
-	/** A round that is sent early takes the place of the next one. */
+	/** An early round replaces the next scheduled one. */
 	const scheduleRound = (): void => {
 		clearTimeout(timer);
 		timer = setTimeout(() => {
-			forgetOld();
-			logAway();
+			forgetExpired();
+			logSilent();
 			sendRound();
 		}, intervalMs());
 	};
 
-	/** Daemons learn of peers in the same order; in that order all would report to the same few at a time. */
-	const mixUnreached = (): void => {
-		for (const daemon of orderedBy(`round ${name}`, [...unreached])) {
+	/** Daemons learn of peers in the same order; without a different order on each, all would report to the same few at a time. */
+	const shuffleNewPeers = (): void => {
+		for (const daemon of orderedBy(`round ${name}`, [...newPeers])) {
 			const peer = queue.get(daemon);
 			if (peer !== undefined) {
 				queue.delete(daemon);
@@ -245,7 +245,7 @@
 			}
 		}
 
-		unreached = new Set();
+		newPeers = new Set();
 	};
 
 	const sendRound = (): void => {
@@ -253,7 +253,7 @@
 			return;
 		}
 
-		mixUnreached();
+		shuffleNewPeers();
 		const peers = [...queue].slice(0, maxPeersPerRound);
 		for (const [daemon, peer] of peers) {
 			queue.delete(daemon);
@@ -264,39 +264,39 @@
 		scheduleRound();
 	};
 
-	/** Several calls of one turn of the event loop share a report. */
-	const announceOnce = async (): Promise<void> => {
+	/** Calls within one turn of the event loop share a report. */
+	const broadcastOnce = async (): Promise<void> => {
 		await Promise.resolve();
-		announcement = undefined;
+		pendingBroadcast = undefined;
 		if (!hasLeft) {
 			await send([...queue]);
 		}
 	};
 
-	/** A daemon doesn't know the data centre of a peer that it hasn't heard. */
+	/** The data centre of a peer is unknown until its first report. */
 	const isInGroup = (daemon: string): boolean =>
 		queue.size < maxGroupSize || reports.get(daemon)?.report.dataCentre === options.dataCentre;
 
 	const sendRelays = async (): Promise<void> => {
 		await Promise.resolve();
-		const taken = relays;
+		const batch = relays;
 		relays = [];
 		if (!hasLeft) {
-			await send([...queue].filter(([daemon]) => isInGroup(daemon)), {relays: taken});
+			await send([...queue].filter(([daemon]) => isInGroup(daemon)), {relays: batch});
 		}
 	};
 
 	const sendUrgent = (): void => {
 		urgentTimer = undefined;
 		urgentSentAt = performance.now();
-		const told = urgent;
-		urgent = new Set();
+		const recipients = urgentPeers;
+		urgentPeers = new Set();
 		if (!hasLeft) {
-			void send([...queue].filter(([daemon]) => told.has(daemon)));
+			void send([...queue].filter(([daemon]) => recipients.has(daemon)));
 		}
 	};
 
-	const forgetOld = (): void => {
+	const forgetExpired = (): void => {
 		const now = performance.now();
 		const forgetMs = Math.max(minForgetMs, silenceMs());
 		for (const [daemon, {learntAt}] of queue) {
@@ -304,23 +304,23 @@
 			if (now - Math.max(heardAt, learntAt) > forgetMs) {
 				queue.delete(daemon);
 				reports.delete(daemon);
-				away.delete(daemon);
+				silentPeers.delete(daemon);
 			}
 		}
 	};
 
-	const logAway = (): void => {
+	const logSilent = (): void => {
 		const now = performance.now();
-		const newlyAway = [...reports.values()].filter(heard => isAway(heard) && !away.has(heard.report.daemon));
-		for (const {report: {daemon}, heardAt} of newlyAway) {
-			away.add(daemon);
-			if (newlyAway.length <= maxAwayLines) {
-				log.info('Peer is away.', {peer: daemon, ms: Math.round(now - heardAt)});
+		const newlySilent = [...reports.values()].filter(heard => isSilent(heard) && !silentPeers.has(heard.report.daemon));
+		for (const {report: {daemon}, heardAt} of newlySilent) {
+			silentPeers.add(daemon);
+			if (newlySilent.length <= maxSilentLogLines) {
+				log.info('Peer is silent.', {peer: daemon, ms: Math.round(now - heardAt)});
 			}
 		}
 
-		if (newlyAway.length > maxAwayLines) {
-			log.info('Many peers are away.', {count: newlyAway.length});
+		if (newlySilent.length > maxSilentLogLines) {
+			log.info('Many peers are silent.', {count: newlySilent.length});
 		}
 	};
 
@@ -330,9 +330,9 @@
 			scheduleRound();
 		},
 		learn,
-		live: () => [...reports.values()].filter(heard => !isAway(heard)),
+		live: () => [...reports.values()].filter(heard => !isSilent(heard)),
 		known: () => reports,
-		group: () => [...reports].filter(([daemon, heard]) => isInGroup(daemon) && !isAway(heard)).map(([daemon]) => daemon),
+		group: () => [...reports].filter(([daemon, heard]) => isInGroup(daemon) && !isSilent(heard)).map(([daemon]) => daemon),
 		relay(table, relay) {
 			if (relays.push([table, relay]) === 1) {
 				void sendRelays();
@@ -356,21 +356,21 @@
 			await closing.close();
 		},
 		async sendNow() {
-			announcement ??= announceOnce();
-			return announcement;
+			pendingBroadcast ??= broadcastOnce();
+			return pendingBroadcast;
 		},
 		sendSoon() {
-			if (performance.now() - sentAt >= minPauseMs) {
+			if (performance.now() - sentAt >= minSendIntervalMs) {
 				sendRound();
 			}
 		},
 		rounds,
 		tellSoon(daemons) {
 			for (const daemon of daemons === 'all' ? queue.keys() : daemons) {
-				urgent.add(daemon);
+				urgentPeers.add(daemon);
 			}
 
-			urgentTimer ??= setTimeout(sendUrgent, Math.max(0, urgentSentAt + minPauseMs - performance.now()));
+			urgentTimer ??= setTimeout(sendUrgent, Math.max(0, urgentSentAt + minSendIntervalMs - performance.now()));
 		},
 		refreshMs,
 		silenceMs,
--- a/packages/router/src/lib/peers/peer-report.ts
+++ b/packages/router/src/lib/peers/peer-report.ts
@@ -3,13 +3,13 @@
 import {feedRelaySchema} from '../fleet/feed-relay.js';
 import {quarantineNewsSchema} from '../quarantine/quarantine-news.js';
 
-/** Most saved parts and placements in one report, which keep it within one datagram. */
+/** Maximum numbers of saved parts and placements in one report; they keep it within one datagram. */
 export const maxReportedParts = 24;
 export const maxReportedPlacements = 16;
 
 /**
- * Report of one daemon. Lists hold tuples to keep datagrams small. Datagrams carry the fields
- * in this order, so new ones come last.
+ * Report of one daemon. Lists hold tuples to keep datagrams small. Datagrams carry the values
+ * by position, so new fields must be appended.
  */
 export const peerReportSchema = z.object({
 	daemon: z.string(),
@@ -27,7 +27,7 @@
 	heard: z.record(z.string(), z.number()),
 	/**
 	 * Workspace, units admitted since start, units requested per second, units left in the fleet's
-	 * bucket; without workspaces that were not used of late.
+	 * bucket. Workspaces without recent use are omitted.
 	 */
 	usage: z.array(z.tuple([z.string(), z.number(), z.number(), z.number()])).default([]),
 	/**
@@ -38,12 +38,12 @@
 	/** Model, weights version, milliseconds since it was named; recent namings only. */
 	named: z.array(z.tuple([z.string(), z.number(), z.number()])).default([]),
 	/**
-	 * Current or former lease holders: latest attempt to write the lease row, milliseconds for
+	 * Sent by current or former lease holders: latest attempt to write the lease row, milliseconds for
 	 * which the lease may be held.
 	 */
 	duty: z.tuple([z.number(), z.number()]).nullable().default(null),
 	/**
-	 * Current or former lease holders: engine, weights version, target version or 0, milliseconds since its
+	 * Sent by current or former lease holders: engine, weights version, target version or 0, milliseconds since its
 	 * last order or -1, milliseconds until its planned drain or -1.
 	 */
 	engines: z.array(z.tuple([z.string(), z.number(), z.number(), z.number(), z.number().default(-1)])).default([]),
@@ -56,10 +56,10 @@
 	 * parts with their tokens.
 	 */
 	placed: z.array(z.tuple([z.string(), z.string(), z.number(), z.array(z.tuple([z.string(), z.number()]))])).default([]),
-	/** Table, and an answer of the store that this daemon relays to this peer. */
+	/** Table, and a store answer that this daemon relays to this peer. */
 	relays: z.array(z.tuple([z.string(), feedRelaySchema])).default([]),
 	...quarantineNewsSchema.shape,
-	/** Endpoint, start of its process, requests a second that it takes from all daemons or null, milliseconds since it said so. */
+	/** Endpoint, start time of its process, requests per second that it accepts from all daemons together or null, milliseconds since it stated this limit. */
 	limits: z.array(z.tuple([z.string(), z.number(), z.number().nullable(), z.number()])).default([]),
 });
 
--- a/packages/router/src/lib/peers/report-codec.ts
+++ b/packages/router/src/lib/peers/report-codec.ts
@@ -1,25 +1,25 @@
 /**
- * Codec of report datagrams: a JSON list of the fields' values, without those at the end that
- * are empty. Long reports are deflated with a preset dictionary; for short ones the time of
- * the codec outweighs the bytes.
+ * Codec of report datagrams: a JSON array of the field values, without empty values at the
+ * end. Long reports are deflated with a preset dictionary; for short ones the processor time
+ * outweighs the saved bytes.
  */
 import {Buffer} from 'node:buffer';
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 import {type PeerReport, peerReportSchema} from './peer-report.js';
 
-/** First byte of a deflated report; plain JSON begins with a bracket. */
+/** First byte of a deflated report; plain JSON begins with a bracket or brace. */
 const deflatedMark = 0x01;
 
-/** Length of the text from which a report is deflated, in bytes. */
+/** Minimum length of the JSON text of a report that is deflated, in bytes. */
 const minDeflatedBytes = 200;
 
-/** Upper bound on an inflated report, against decompression bombs. */
+/** Upper bound on an inflated report; guards against decompression bombs. */
 const maxTextBytes = 512 * 1024;
 
-/** Favors speed over ratio. */
+/** Favors speed over compression ratio. */
 const deflateOptions = {windowBits: 12, memLevel: 5, level: 3} as const;
 
-/** Preset dictionary: common values. */
+/** Preset dictionary of common substrings; both sides must use the same bytes. */
 const dictionary = Buffer.from([
 	'"],["i-",":1 ",":2","daemons/","sequence":,"state":"ready","models":[{"name":"","version":',
 	',0,0],[""],[["i-",1,0,0,0],["i-",1,0,-1,-1],null,[],[],[],[["i-",":1",[[""]]],"}],["operator",["endpoints",{"since":,"version":,"rows":[["","isPrompt":true,"outage":null}]]',
@@ -28,7 +28,7 @@
 
 type FieldName = keyof typeof peerReportSchema.shape;
 
-/** Fields in the order of their values. */
+/** Field names in the order of the encoded values. */
 const fieldNames = Object.keys(peerReportSchema.shape) as FieldName[];
 
 const isEmpty = (value: unknown): boolean => value === null || value === '' || (Array.isArray(value) && value.length === 0);
--- a/packages/router/src/lib/peers/news-log.ts
+++ b/packages/router/src/lib/peers/update-log.ts
@@ -1,15 +1,15 @@
-/** Recent items of news, each stamped with the number of the first report that carries it. */
+/** Log of recent incremental updates, each stamped with the number of the first report that carries it. */
 
-/** The log of one kind of news. */
-export type NewsLog<T> = {
-	/** Appends items that report `number` is the first to carry. */
+/** The log of one kind of update. */
+export type UpdateLog<T> = {
+	/** Appends items that are first carried by report `number`. */
 	add: (items: readonly T[], number: number) => void;
-	/** Items that a peer lacks whose last report had this number, oldest first. */
+	/** Items added after report `number`, which a peer lacks if that was its last report; oldest first. */
 	since: (number: number) => T[];
 };
 
 /** Creates an empty log, which drops its oldest items beyond `maxItems`. */
-export function createNewsLog<T>(maxItems: number): NewsLog<T> {
+export function createUpdateLog<T>(maxItems: number): UpdateLog<T> {
 	let entries: Array<{item: T; number: number}> = [];
 
 	return {
--- a/packages/router/src/lib/weights/engine-versions.ts
+++ b/packages/router/src/lib/weights/engine-versions.ts
@@ -1,10 +1,10 @@
 /**
- * Weights versions that engines are believed to run, from the endpoint list, responses and
- * the lease holder. Versions only grow.
+ * Tracks the weights versions that engines run, from the endpoint list, responses and reports
+ * of the lease holder. The tracked versions may lag behind and only grow.
  */
 import {type LiveEndpoint} from '../fleet/live-endpoint.js';
 
-/** Belief about one engine. */
+/** Tracked state of one engine. */
 export type EngineVersion = {
 	version: number;
 	/** The engine is being drained or changed and gets no new requests. */
@@ -13,14 +13,14 @@
 	dueInMs: number;
 };
 
-/** Beliefs about all engines. */
+/** Tracked states of all engines. */
 export type EngineVersions = {
 	of: (endpoint: LiveEndpoint, model: string) => EngineVersion;
-	/** A response or report told the version that the engine runs. */
+	/** Records the version that the engine runs, from a response or report. */
 	seen: (id: string, version: number) => void;
-	/** The engine is being drained or changed to a version. */
+	/** Records that the engine is being drained or changed to a version. */
 	changing: (id: string, toVersion: number) => void;
-	/** The engine will be drained in `dueInMs` for a change to a version. */
+	/** Records that the engine will be drained in `dueInMs` for a change to a version. */
 	planned: (id: string, toVersion: number, dueInMs: number) => void;
 	/** Engines that are being changed, with their target version. */
 	allChanging: () => ReadonlyMap<string, number>;
@@ -28,12 +28,12 @@
 };
 
 /**
- * Time after which a change without further news is void; bounds how long an engine stays
- * unused when the lease holder dies.
+ * Time after which a recorded change expires; bounds how long an engine stays unused when the
+ * lease holder dies.
  */
 const maxChangeMs = 4000;
 
-/** Lower bound of the time after which a plan is void unless the lease holder's report repeats it. */
+/** Lower bound of the time after which a plan expires unless the lease holder's reports repeat it. */
 const minPlanTtlMs = 1000;
 
 /** Options of {@link createEngineVersions}. */
@@ -46,7 +46,7 @@
 
 type Plan = {toVersion: number; dueAt: number; heardAt: number};
 
-/** Creates empty beliefs. */
+/** Creates a tracker that knows no engines. */
 export function createEngineVersions({planRepeatMs = () => 0}: EngineVersionsOptions = {}): EngineVersions {
 	const versions = new Map<string, number>();
 	const changes = new Map<string, Change>();
--- a/packages/router/src/lib/weights/naming-record.ts
+++ b/packages/router/src/lib/weights/naming-record.ts
@@ -1,6 +1,6 @@
 /**
- * Carries the times at which weights were named over a restart of the whole fleet. The lease
- * holder stores them beside its lease, on the store's clock.
+ * Preserves the times at which the operator named weights across a restart of the whole fleet.
+ * The lease holder stores them with its lease, on the store's clock.
  */
 import {z} from 'zod';
 import {type FleetView} from '../fleet/fleet-view.js';
@@ -29,14 +29,14 @@
 export type NamingRecord = {
 	/** The record to store; `undefined` while nothing is known. */
 	encode: () => string | undefined;
-	/** Takes over a stored record. */
+	/** Replaces the record by a stored one and applies it; ignores an invalid one. */
 	accept: (text: string) => void;
-	/** Dates the namings that the view has learnt since. */
+	/** Applies the stored times to the namings that the view has received since. */
 	apply: () => void;
 };
 
 /** Creates an empty record. */
-export function createNamingRecord({view, storeMs, unseenMs, log}: NamingRecordOptions): NamingRecord {
+export function createNamingRecord({view, storeMs, unseenMs: feedAgeMs, log}: NamingRecordOptions): NamingRecord {
 	let stored: StoredRecord | undefined;
 	let storedText: string | undefined;
 
@@ -64,13 +64,13 @@
 		encode() {
 			const now = storeMs();
 			const namings = view.namings();
-			const unseen = unseenMs();
-			if (now === undefined || namings.length === 0 || !Number.isFinite(unseen)) {
+			const feedAge = feedAgeMs();
+			if (now === undefined || namings.length === 0 || !Number.isFinite(feedAge)) {
 				return storedText;
 			}
 
 			const record: StoredRecord = {
-				asOf: Math.floor(now - unseen),
+				asOf: Math.floor(now - feedAge),
 				named: namings.map(({model, version, ageMs, isDated}) => [model, version, Number.isFinite(ageMs) ? Math.floor(now - ageMs) : null, isDated]),
 			};
 			return JSON.stringify(record);
@@ -84,7 +84,7 @@
 				stored = recordSchema.parse(JSON.parse(text));
 				storedText = text;
 			} catch (error) {
-				log.warn('Record of named weights can\'t be read.', {err: error});
+				log.warn('Stored record of named weights is invalid.', {err: error});
 				return;
 			}
 
--- a/packages/router/src/lib/weights/weights-control.ts
+++ b/packages/router/src/lib/weights/weights-control.ts
@@ -5,7 +5,7 @@
 export type EngineState = {
 	/** Running versions, by model. */
 	weights: ReadonlyMap<string, number>;
-	/** Queued requests; the value lags behind. */
+	/** Number of queued requests; the value lags behind. */
 	waiting: number;
 	/** An order is being carried out. */
 	isChanging: boolean;
@@ -33,7 +33,7 @@
 	holder: string;
 	/** Fencing token; grows with each change of holder. */
 	fencing: number;
-	/** `ordersTaken` of the state that was read; voids an order that another one overtook. */
+	/** `ordersTaken` of the state that was read; the engine rejects the order if it has accepted another one since. */
 	ordersTaken: number;
 };
 
--- a/packages/router/src/lib/weights/weights-keeper.ts
+++ b/packages/router/src/lib/weights/weights-rollout.ts
@@ -1,6 +1,6 @@
 /**
- * Rolls engines over to the weights that the operator names. Only the lease holder acts,
- * and only a part of a service's engines changes at a time.
+ * Updates engines to the weights that the operator names. Only the lease holder acts, and only
+ * a part of a service's engines changes at a time.
  */
 import {type EndpointPresence} from '../fleet/endpoint-presence.js';
 import {type FleetView} from '../fleet/fleet-view.js';
@@ -8,13 +8,13 @@
 import {type HeldLease} from '../leases/lease-holder.js';
 import {type Log} from '../observability/log.js';
 import {pause} from '../time/pause.js';
-import {type ChangeTask, createChangeTurns} from './change-turns.js';
-import {createEngineEmptying} from './engine-emptying.js';
+import {type ChangeTask, createRolloutPlanner} from './rollout-planner.js';
+import {createEngineDrains} from './engine-drains.js';
 import {type EngineVersions} from './engine-versions.js';
 import {type WeightsControl} from './weights-control.js';
 
 /** Options of {@link createWeightsKeeper}; durations in milliseconds. */
-export type WeightsKeeperOptions = {
+export type WeightsRolloutOptions = {
 	name: string;
 	view: FleetView;
 	/** Excludes ended engines from orders, and doubtful ones from the serving count. */
@@ -25,25 +25,25 @@
 	held: () => HeldLease | undefined;
 	/** Minimum time between orders of two holders to one engine, for engines that ignore fencing tokens. */
 	handoverMs: number;
-	/** Called before an order is sent, so that peers know of it should this daemon die. */
+	/** Called before an order is sent, so that peers know of it if this daemon dies. */
 	announce: () => Promise<void> | void;
-	/** Daemons that an announcement goes to. */
+	/** Number of daemons that an announcement goes to. */
 	daemons?: () => number;
 	/** Maximum staleness of weights on which a request may begin. */
 	weightsMs: number;
 	/** Expected milliseconds until an endpoint's last request in flight ends. */
 	lastsMs: (id: string) => number;
-	/** Milliseconds between two requests that an endpoint with a limit takes; `undefined` without a limit. */
+	/** Minimum interval between two requests to an endpoint with a rate limit; `undefined` without a limit. */
 	limitedMs?: (endpoint: LiveEndpoint) => number | undefined;
 	log: Log;
 };
 
-/** The keeper; `tick` is called several times per second. */
-export type WeightsKeeper = {
+/** The rollout; `tick` is called several times per second. */
+export type WeightsRollout = {
 	tick: () => void;
 	/** Milliseconds since this daemon's last order to an engine; infinite if none. */
 	sinceOrderMs: (id: string) => number;
-	/** Another daemon ordered an engine this long ago. */
+	/** Records that another daemon ordered an engine `sinceMs` ago. */
 	heardOrder: (id: string, sinceMs: number) => void;
 };
 
@@ -52,7 +52,7 @@
 
 const pollMs = 200;
 
-/** Minimum interval within which announcements to peers are merged into one, and its growth with the fleet. */
+/** Minimum interval within which announcements to peers are merged into one, and its growth per daemon. */
 const minAnnounceMs = 50;
 const announceMsPerDaemon = 1;
 
@@ -60,7 +60,7 @@
 const initialLoadMs = 800;
 const loadSmoothing = 0.3;
 
-/** Bounds on what one load may add to the estimate. */
+/** Bounds on the duration that one load adds to the estimate: factor on the estimate, and maximum. */
 const maxLoadGrowth = 2;
 const maxLoadMs = 2000;
 
@@ -77,20 +77,20 @@
 /** Minimum remaining lease to send an order, which must arrive within the lease. */
 const minLeaseMs = 300;
 
-/** Creates a keeper; it acts only while the lease is held. */
-export function createWeightsKeeper(options: WeightsKeeperOptions): WeightsKeeper {
+/** Creates a rollout; it acts only while the lease is held. */
+export function createWeightsKeeper(options: WeightsRolloutOptions): WeightsRollout {
 	const {view, presence, versions, control, log} = options;
-	const busy = new Map<string, Promise<void>>();
-	let ownedFencing: number | undefined;
+	const inProgress = new Map<string, Promise<void>>();
+	let heldFencing: number | undefined;
 	const startedAt = performance.now();
 	const ownOrders = new Map<string, number>();
 	/** Accepted orders, by engine. */
-	const accepted = new Map<string, {version: number; at: number}>();
+	const acceptedOrders = new Map<string, {version: number; at: number}>();
 	const peerOrders = new Map<string, number>();
 	let announcement: Promise<void> | undefined;
 	let averageLoadMs = initialLoadMs;
 
-	/** Resolves once peers have been told; calls within one interval share an announcement. */
+	/** Resolves once peers have been informed; calls within one interval share an announcement. */
 	const announce = async (): Promise<void> => {
 		announcement ??= (async () => {
 			await pause(Math.max(minAnnounceMs, announceMsPerDaemon * (options.daemons?.() ?? 1)));
@@ -100,25 +100,25 @@
 		return announcement;
 	};
 
-	const emptying = createEngineEmptying({
+	const drains = createEngineDrains({
 		versions,
-		lastsMs: options.lastsMs,
+		remainingMs: options.lastsMs,
 		announce() {
 			void announce();
 		},
 	});
-	const turns = createChangeTurns();
+	const planner = createRolloutPlanner();
 
-	const lease = (): HeldLease | undefined => {
+	const usableLease = (): HeldLease | undefined => {
 		const held = options.held();
 		if (held === undefined) {
-			ownedFencing = undefined;
+			heldFencing = undefined;
 			return undefined;
 		}
 
-		if (held.fencing !== ownedFencing) {
-			ownedFencing = held.fencing;
-			log.info('Orders to engines are this daemon\'s duty now.', {order: held.fencing});
+		if (held.fencing !== heldFencing) {
+			heldFencing = held.fencing;
+			log.info('This daemon now gives orders to engines.', {order: held.fencing});
 		}
 
 		// A restarted process doesn't know its predecessor's last orders, so it waits out the
@@ -139,7 +139,7 @@
 
 	/** The reported state may predate the order. */
 	const isRecentlyAccepted = ({endpoint, version}: ChangeTask): boolean => {
-		const order = accepted.get(endpoint.id);
+		const order = acceptedOrders.get(endpoint.id);
 		return order?.version === version && performance.now() - order.at < (averageLoadMs * firstPollRatio) + acceptedOrderTtlMs;
 	};
 
@@ -147,9 +147,9 @@
 	const isUnusable = ({endpoint, model}: ChangeTask): boolean =>
 		view.namedWeights(model)!.outdatedMs(versions.of(endpoint, model).version) > options.weightsMs * maxWeightsAgeRatio;
 
-	const step = async (task: ChangeTask): Promise<void> => {
+	const advance = async (task: ChangeTask): Promise<void> => {
 		const {endpoint, model, version} = task;
-		if (!emptying.isDrained(task, isUnusable(task))) {
+		if (!drains.areLongRequestsDone(task, isUnusable(task))) {
 			return;
 		}
 
@@ -159,18 +159,18 @@
 			versions.seen(endpoint.id, running);
 		}
 
-		const held = lease();
+		const held = usableLease();
 		if (running === undefined || running >= version || state.isChanging || held === undefined || isOrderedByPeer(endpoint.id)) {
 			return;
 		}
 
-		if (!emptying.isEmpty(task, state.waiting) || isRecentlyAccepted(task)) {
+		if (!drains.isQueueEmpty(task, state.waiting) || isRecentlyAccepted(task)) {
 			return;
 		}
 
 		ownOrders.set(endpoint.id, performance.now());
 		await announce();
-		const renewed = lease();
+		const renewed = usableLease();
 		if (renewed?.fencing !== held.fencing || isOrderedByPeer(endpoint.id) || !isNeeded(task)) {
 			return;
 		}
@@ -180,21 +180,21 @@
 			model, version, holder: options.name, fencing: held.fencing, ordersTaken: state.ordersTaken,
 		});
 		if (result === 'accepted') {
-			accepted.set(endpoint.id, {version, at: performance.now()});
+			acceptedOrders.set(endpoint.id, {version, at: performance.now()});
 		}
 
 		if (result === 'misdirected') {
 			presence.replaced(endpoint);
 		}
 
-		log.info('Engine was told to change its weights.', {
+		log.info('Engine was ordered to change its weights.', {
 			endpoint: endpoint.id, version, result, order: held.fencing,
 		});
 	};
 
-	/** An engine that loads weights is left alone until it is expected to be done. */
+	/** An engine that loads weights isn't polled until its load is expected to end. */
 	const pollPauseMs = ({endpoint, version}: ChangeTask): number => {
-		const order = accepted.get(endpoint.id);
+		const order = acceptedOrders.get(endpoint.id);
 		if (order?.version !== version) {
 			return pollMs;
 		}
@@ -203,22 +203,22 @@
 		return Math.max(pollMs, (averageLoadMs * firstPollRatio) - loadingMs, Math.min(maxPollMs, loadingMs * nextPollRatio));
 	};
 
-	const learnLoad = ({endpoint, version}: ChangeTask): void => {
-		const order = accepted.get(endpoint.id);
+	const updateAverageLoad = ({endpoint, version}: ChangeTask): void => {
+		const order = acceptedOrders.get(endpoint.id);
 		if (order?.version === version) {
-			// A load may have gone unseen for long after its end.
+			// The end of a load may be observed long after it happened.
 			const loadMs = Math.min(performance.now() - order.at, averageLoadMs * maxLoadGrowth, maxLoadMs);
 			averageLoadMs += loadSmoothing * (loadMs - averageLoadMs);
 		}
 	};
 
-	const work = async (task: ChangeTask): Promise<void> => {
-		while (lease() !== undefined && isNeeded(task)) {
+	const runTask = async (task: ChangeTask): Promise<void> => {
+		while (usableLease() !== undefined && isNeeded(task)) {
 			try {
-				await step(task);
+				await advance(task);
 			} catch (error) {
 				presence.unreached(task.endpoint);
-				log.warn('Engine gave no answer about its weights.', {endpoint: task.endpoint.id, version: task.version, err: error});
+				log.warn('Engine did not answer a call about its weights.', {endpoint: task.endpoint.id, version: task.version, err: error});
 			}
 
 			if (!isNeeded(task)) {
@@ -229,23 +229,23 @@
 		}
 	};
 
-	const begin = (task: ChangeTask): void => {
+	const startTask = (task: ChangeTask): void => {
 		const {id} = task.endpoint;
 		const startedMs = performance.now();
 		if (!isRecentlyAccepted(task)) {
-			accepted.delete(id);
+			acceptedOrders.delete(id);
 		}
 
-		busy.set(id, (async () => {
-			await work(task);
-			const awayMs = emptying.ended(id);
-			if (awayMs !== undefined && versions.of(task.endpoint, task.model).version >= task.version) {
-				turns.learn(awayMs);
-				learnLoad(task);
+		inProgress.set(id, (async () => {
+			await runTask(task);
+			const downtimeMs = drains.finish(id);
+			if (downtimeMs !== undefined && versions.of(task.endpoint, task.model).version >= task.version) {
+				planner.recordDowntime(downtimeMs);
+				updateAverageLoad(task);
 			}
 
-			busy.delete(id);
-			log.info('Change of an engine\'s weights has ended.', {
+			inProgress.delete(id);
+			log.info('Change of an engine\'s weights ended.', {
 				endpoint: id, version: versions.of(task.endpoint, task.model).version, ms: Math.round(performance.now() - startedMs),
 			});
 		})());
@@ -269,27 +269,27 @@
 		return tasks;
 	};
 
-	/** An engine finishes an earlier order even if newer weights were named, and counts as away until then. */
+	/** An engine finishes an earlier order even if newer weights were named, and counts as changing until then. */
 	const isCarryingOut = (endpoint: LiveEndpoint, models: readonly string[]): boolean =>
 		models.some(model => versions.of(endpoint, model).isChanging);
 
 	const startTasks = (service: string, models: readonly string[]): void => {
 		const serving = view.endpointsOf(service).filter(endpoint => !presence.hasEnded(endpoint) && !presence.isDoubtful(endpoint));
-		const waiting = tasksOf(service, models).filter(task => !busy.has(task.endpoint.id));
-		const {due, later} = turns.plan({
+		const pending = tasksOf(service, models).filter(task => !inProgress.has(task.endpoint.id));
+		const {due, later} = planner.plan({
 			engines: serving.length,
-			away: serving.filter(endpoint => busy.has(endpoint.id) || isCarryingOut(endpoint, models)).length,
-			waiting: waiting.map(task => ({
+			changing: serving.filter(endpoint => inProgress.has(endpoint.id) || isCarryingOut(endpoint, models)).length,
+			pending: pending.map(task => ({
 				task,
-				isAway: isCarryingOut(task.endpoint, models),
+				isChanging: isCarryingOut(task.endpoint, models),
 				isDoubtful: presence.isDoubtful(task.endpoint),
 				isUnusable: isUnusable(task),
 				dueInMs: versions.of(task.endpoint, task.model).dueInMs,
-				lastsMs: options.lastsMs(task.endpoint.id),
+				remainingMs: options.lastsMs(task.endpoint.id),
 			})),
 		});
 		for (const task of due) {
-			begin(task);
+			startTask(task);
 		}
 
 		for (const {task, inMs} of later) {
@@ -304,7 +304,7 @@
 		},
 		tick() {
 			const document = view.current()?.document;
-			if (document === undefined || lease() === undefined) {
+			if (document === undefined || usableLease() === undefined) {
 				return;
 			}
 
--- a/packages/router/src/peers.ts
+++ b/packages/router/src/peers.ts
@@ -1,4 +1,4 @@
-/** Reports between daemons, by datagrams. */
+/** Exchange of state reports between daemons over UDP. */
 export * from './lib/peers/feed-readers.js';
 export * from './lib/peers/peer-exchange.js';
 export * from './lib/peers/peer-report.js';
--- a/packages/router/src/test/peers/feed-readers.test.ts
+++ b/packages/router/src/test/peers/feed-readers.test.ts
@@ -17,7 +17,7 @@
 		clock.uninstall();
 	});
 
-	/** The election as each daemon sees it, with all others alive. */
+	/** The election as seen by each daemon, with all others as live peers. */
 	const openGroup = (names: readonly string[]) => new Map(names.map(name => [name, createFeedReaders({
 		name, table: 'endpoints', peers: () => names.filter(other => other !== name), silenceMs,
 	})]));
@@ -28,7 +28,7 @@
 		assert.deepEqual([1, 9, 16, 17, 33, 200].map(count => readersOf(openGroup(namesOf(count))).length), [1, 1, 1, 2, 2, 2]);
 	});
 
-	it('lets each table have readers of its own', () => {
+	it('elects the readers of each table independently', () => {
 		const tables = Array.from({length: 20}, (_item, index) => `table-${index}`);
 		const names = namesOf(9);
 		const readers = tables.map(table => names.find(name => createFeedReaders({
@@ -37,7 +37,7 @@
 		assert.isAbove(new Set(readers).size, 3);
 	});
 
-	it('keeps the others waiting while the readers relay', () => {
+	it('elects no further readers while the readers relay', () => {
 		const group = openGroup(namesOf(33));
 		const readers = readersOf(group);
 		for (let at = 0; at < 10_000; at += 1000) {
@@ -54,8 +54,8 @@
 		assert.deepEqual(readersOf(group), readers);
 	});
 
-	it('lets one daemon after the other step in for a silent reader', () => {
-		// If all stepped in at once, a lost reader would cost a call of each daemon.
+	it('lets daemons step in one after the other for a silent reader', () => {
+		// If all stepped in at once, a lost reader would cost one store call per daemon.
 		const group = openGroup(namesOf(16));
 		clock.tick(silenceMs);
 		assert.equal(readersOf(group).length, 1);
@@ -65,7 +65,7 @@
 		assert.equal(readersOf(group).length, 3);
 	});
 
-	it('steps back once a reader ranked before it relays again', () => {
+	it('stops reading once a higher-ranked reader relays again', () => {
 		const group = openGroup(namesOf(9));
 		const [first] = readersOf(group);
 		clock.tick(silenceMs + 100);
--- a/packages/router/src/test/peers/large-fleet.test.ts
+++ b/packages/router/src/test/peers/large-fleet.test.ts
@@ -36,7 +36,7 @@
 		clock.uninstall();
 	});
 
-	/** A network with jitter and loss; datagrams to addresses without a receiver vanish. */
+	/** A network with jitter and loss; datagrams to addresses without a receiver are dropped. */
 	const openLossy: OpenDatagramTransport = async ({bind, onDatagram}) => {
 		receivers.set(`${bind.host}:${bind.port}`, onDatagram);
 		return {
@@ -76,7 +76,7 @@
 		return exchange;
 	};
 
-	/** Starts the peers at random phases of their rounds, and an observer that alone receives. */
+	/** Starts an observer, and the peers at random offsets within a round; only the observer receives. */
 	const startFleet = async (log: Log): Promise<PeerExchange> => {
 		const observer = open('observer', {openTransport: openLossy, log});
 		await observer.start();
@@ -96,7 +96,7 @@
 		return observer;
 	};
 
-	it('counts no live peer as away while some reports are late or lost', async () => {
+	it('counts no live peer as silent while some reports are late or lost', async () => {
 		const lines: string[] = [];
 		const log: Log = {
 			...createSilentLog(),
@@ -111,11 +111,11 @@
 			assert.equal(observer.live().length, peerCount, `after ${at} ms`);
 		}
 
-		assert.deepEqual(lines, peerNames.map(() => 'Peer is heard.'));
+		assert.deepEqual(lines, peerNames.map(() => 'Peer sends reports.'));
 	}).timeout(120_000);
 
-	it('reports in its first rounds to other peers than the other daemons do', async () => {
-		// Guards against news that most daemons tell to the same few at a time.
+	it('sends its first rounds to other peers than the other daemons do', async () => {
+		// Daemons learn of peers in the same order. Guards against most of them reporting to the same few at a time.
 		const reached = new Set<string>();
 		for (const name of peerNames.slice(0, 12)) {
 			const exchange = open(name, {
@@ -161,12 +161,12 @@
 		await exchange.leave();
 	});
 
-	it('knows the size of the fleet before it has heard a peer', () => {
+	it('knows the size of the fleet before the first report of a peer', () => {
 		const exchange = open('vm-0', {openTransport: openLossy, peers: peerNames});
 		assert.deepEqual([exchange.fleetSize(), exchange.peersBeyondRound()], [peerCount + 1, peerCount - 16]);
 	});
 
-	it('counts a peer as away only after several refresh intervals, which grow with the fleet', () => {
+	it('counts a peer as silent only after several refresh intervals, which grow with the fleet', () => {
 		const limitsWith = (count: number): number[] => {
 			const exchange = open('vm-0', {openTransport: openLossy, peers: Array.from({length: count}, (_item, index) => `vm-${index + 1}`)});
 			return [exchange.refreshMs(), exchange.silenceMs()];
@@ -177,7 +177,7 @@
 		]);
 	});
 
-	it('logs a peer once when it is away and once when it is back, and an outage of many in one line', async () => {
+	it('logs a peer once when it becomes silent and once when it is back, and many silent peers in one line', async () => {
 		const lines: unknown[] = [];
 		const log: Log = {
 			...createSilentLog(),
@@ -199,14 +199,14 @@
 		await clock.tickAsync(9000);
 		deliver(['vm-1'], 2);
 		deliver(['vm-1'], 3);
-		assert.deepEqual(lines.splice(0), [['Peer is heard.', 'vm-1'], ['Peer is away.', 'vm-1'], ['Peer is heard.', 'vm-1']]);
+		assert.deepEqual(lines.splice(0), [['Peer sends reports.', 'vm-1'], ['Peer is silent.', 'vm-1'], ['Peer sends reports.', 'vm-1']]);
 		deliver(peerNames, 4);
 		lines.splice(0);
 		await clock.tickAsync(9000);
-		assert.deepEqual(lines, [['Many peers are away.', 66]]);
+		assert.deepEqual(lines, [['Many peers are silent.', 66]]);
 	});
 
-	/** An exchange whose datagrams are recorded by address. */
+	/** Starts an exchange whose datagrams are recorded by address. */
 	const startRecorded = async (compose: () => OwnReport) => {
 		const sent = new Map<string, Buffer[]>(peerNames.map(name => [addressOf(name), []]));
 		const exchange = open('observer', {
@@ -224,8 +224,8 @@
 		return {exchange, sent};
 	};
 
-	it('tells each item of news to each peer once', async () => {
-		// An item told to the peers of one round alone never reaches the rest of the fleet.
+	it('sends each update to each peer once', async () => {
+		// An update sent to the peers of one round alone would never reach the rest of the fleet.
 		const kept: string[] = [];
 		const placed: OwnReport['placed'] = [];
 		const {exchange, sent} = await startRecorded(() => ({...emptyReport(), kept: kept.splice(0), placed: placed.splice(0)}));
@@ -259,7 +259,7 @@
 		assert.deepEqual([...sent.values()].map(contents => contents.length), peerNames.map(() => 1));
 	});
 
-	it('tells some peers before their turn, at most every 40 ms', async () => {
+	it('sends to some peers ahead of their turn, at most every 40 ms', async () => {
 		const {exchange, sent} = await startRecorded(emptyReport);
 		for (let at = 0; at < 100; at += 10) {
 			exchange.tellSoon(['vm-1', 'vm-2', 'nobody']);
@@ -272,7 +272,7 @@
 		assert.deepEqual([...sent.values()].map(contents => contents.length).slice(0, 4), [4, 4, 1, 1]);
 	});
 
-	it('tells a peer that joins no news from before', async () => {
+	it('sends a peer that joins no updates from before', async () => {
 		const kept = [':1 early'];
 		const {exchange, sent} = await startRecorded(() => ({...emptyReport(), kept: kept.splice(0)}));
 		await clock.tickAsync(4000);
@@ -283,16 +283,16 @@
 		assert.deepEqual(sent.get('vm-67:1')!.flatMap(content => decodeReport(content).kept), [':1 late']);
 	});
 
-	it('keeps the latest news where there is more than a report holds', async () => {
+	it('keeps the latest updates where there are more than a report holds', async () => {
 		const keys = Array.from({length: 30}, (_item, index) => `:1 part-${index}`);
 		const kept = [...keys];
 		const {sent} = await startRecorded(() => ({...emptyReport(), kept: kept.splice(0, 20)}));
 		await clock.tickAsync(4000);
-		// The last peers of a cycle are first told after both batches.
+		// The last peers of a cycle get their first report after both batches.
 		assert.deepEqual(sent.get('vm-66:1')!.flatMap(content => decodeReport(content).kept), keys.slice(-24));
 	});
 
-	it('sends to 16 peers a round, and reaches each within a refresh interval', async () => {
+	it('sends to 16 peers per round, and reaches each within a refresh interval', async () => {
 		const {exchange, sent} = await startRecorded(emptyReport);
 		const counts = (): number[] => [...sent.values()].map(contents => contents.length);
 		const rounds = 50;
@@ -301,8 +301,8 @@
 		assert.isAtLeast(Math.min(...counts()), Math.floor(rounds / exchange.rounds()));
 	});
 
-	it('costs a daemon no more datagrams a second the larger the fleet is', async () => {
-		// Most of an idle daemon's processor time went into 80 reports a second in and out.
+	it('sends no more datagrams per second the larger the fleet is', async () => {
+		// Sending and receiving 80 reports per second took most of an idle daemon's processor time.
 		const perSecond = (count: number): number => {
 			const exchange = open('vm-0', {openTransport: openLossy, peers: Array.from({length: count}, (_item, index) => `vm-${index + 1}`)});
 			return Math.round(Math.min(count, 16) * exchange.rounds() / exchange.refreshMs() * 1000);
@@ -311,7 +311,7 @@
 		assert.deepEqual([16, 32, 66, 100, 195, 650].map(count => perSecond(count)), [80, 57, 36, 32, 32, 32]);
 	});
 
-	it('shares one report between urgent calls of one turn', async () => {
+	it('shares one report between urgent calls of one turn of the event loop', async () => {
 		const {exchange, sent} = await startRecorded(emptyReport);
 		void exchange.sendNow();
 		void exchange.sendNow();
@@ -319,7 +319,7 @@
 		assert.deepEqual([...sent.values()].map(contents => contents.length), peerNames.map(() => 1));
 	});
 
-	it('sends nothing after the report that it leaves', async () => {
+	it('sends nothing after the report of its stop', async () => {
 		// A later report would make peers count the load of a process that is gone.
 		const {exchange, sent} = await startRecorded(emptyReport);
 		void exchange.sendNow();
--- a/packages/router/src/test/peers/peer-directory.test.ts
+++ b/packages/router/src/test/peers/peer-directory.test.ts
@@ -14,8 +14,8 @@
 		clock.uninstall();
 	});
 
-	it('finds the other daemons beside an entry that can\'t be read', async () => {
-		// Guards against one entry that hides the whole fleet from each daemon that reads it.
+	it('finds the other daemons despite an invalid entry', async () => {
+		// Guards against one invalid entry that hides the whole fleet from every daemon that reads it.
 		const entry = (address: string): string => JSON.stringify({address, incarnation: 1});
 		const rows = [['a', entry('a:1')], ['b', 'no JSON'], ['c', '{}'], ['d', entry('d:1')]];
 		const found: string[] = [];
--- a/packages/router/src/test/peers/peer-exchange.test.ts
+++ b/packages/router/src/test/peers/peer-exchange.test.ts
@@ -7,7 +7,7 @@
 import {emptyContents} from './empty-report.js';
 
 const host = '127.0.0.1';
-/** No round comes by itself within a test; it says when to send. */
+/** Longer than any test, which sends its reports explicitly. */
 const neverMs = 1_000_000;
 
 async function freePort(): Promise<number> {
@@ -24,7 +24,7 @@
 describe('createPeerExchange over sockets', () => {
 	const open: PeerExchange[] = [];
 
-	/** A daemon whose reports carry `store` as the newest change that it knows. */
+	/** Starts a daemon whose reports carry `store()` as the newest version seen. */
 	const start = async (name: string, incarnation: number, store: () => number) => {
 		const port = await freePort();
 		const heard: PeerReport[] = [];
@@ -49,7 +49,7 @@
 			exchange,
 			port,
 			heard,
-			/** Resolves once so many reports were heard. */
+			/** Resolves once `count` reports were received. */
 			until: async (count: number) => new Promise<void>(resolve => {
 				wake = () => {
 					if (heard.length >= count) {
@@ -66,7 +66,7 @@
 		await Promise.all(open.splice(0).map(async exchange => exchange.leave()));
 	});
 
-	it('brings a report to peers that are known by the directory, and makes the sender known', async () => {
+	it('sends reports to peers from the directory, and learns the senders of received reports', async () => {
 		const one = await start('vm-1', 1, () => 7);
 		const two = await start('vm-2', 1, () => 9);
 		one.exchange.learn('vm-2', `${host}:${two.port}`);
@@ -79,9 +79,9 @@
 		assert.deepEqual(one.exchange.live().map(({report}) => report.daemon), ['vm-2']);
 	});
 
-	it('drops what is no report, and reports that are older than the last', async () => {
-		// Datagrams come late, twice and from anybody. An old report must not take
-		// back what a newer one said, nor a former process's that of its successor.
+	it('drops invalid datagrams, and reports that are not newer than the last', async () => {
+		// Datagrams may arrive late, twice or from any sender. An old report must not
+		// replace a newer one, nor that of a former process the report of its successor.
 		const one = await start('vm-1', 1, () => 0);
 		const socket = createSocket('udp4');
 		const send = async (content: string) => new Promise<void>(resolve => {
@@ -103,7 +103,7 @@
 		socket.close();
 	});
 
-	it('forgets a peer that says that it stops', async () => {
+	it('forgets a peer that announces its stop', async () => {
 		const one = await start('vm-1', 1, () => 0);
 		const two = await start('vm-2', 1, () => 0);
 		two.exchange.learn('vm-1', `${host}:${one.port}`);
--- a/packages/router/src/test/peers/played-network.ts
+++ b/packages/router/src/test/peers/played-network.ts
@@ -1,4 +1,4 @@
-/** A network of datagrams on the paused clock, which delays and loses some. */
+/** A simulated datagram network on a fake clock, with delay and loss. */
 import {type Buffer} from 'node:buffer';
 import {createSilentLog} from '../../observability.js';
 import {
@@ -7,20 +7,20 @@
 import {emptyContents} from './empty-report.js';
 
 /** Options of {@link createPlayedNetwork}. */
-export type PlayedNetworkOptions = {
-	/** Daemons that know each other, by index. */
+export type SimulatedNetworkOptions = {
+	/** Number of daemons; each knows the addresses of all. */
 	size: number;
 	/** Returns a number in [0, 1). */
 	random: () => number;
-	/** Whether a datagram passes, apart from those that are lost. */
+	/** Whether a datagram passes, apart from random loss. */
 	passes?: (from: number, to: number) => boolean;
 };
 
 /** One daemon of the network. */
-export type PlayedDaemon = {
+export type SimulatedDaemon = {
 	index: number;
 	incarnation?: number;
-	/** What its reports say. */
+	/** Report fields that are not empty. */
 	contents: () => Partial<OwnReport>;
 	onReport: (report: PeerReport) => void;
 };
@@ -34,11 +34,11 @@
 
 const addressOf = (index: number): string => `${nameOf(index)}:1`;
 
-/** Creates a network; returns a function that starts a daemon's exchange. */
-export function createPlayedNetwork({size, random, passes = () => true}: PlayedNetworkOptions) {
+/** Creates a network; the returned function starts a daemon's exchange. */
+export function createPlayedNetwork({size, random, passes = () => true}: SimulatedNetworkOptions) {
 	const receivers = new Map<string, {index: number; onDatagram: (content: Buffer) => void}>();
 
-	return ({index, incarnation = 1, contents, onReport}: PlayedDaemon): PeerExchange => {
+	return ({index, incarnation = 1, contents, onReport}: SimulatedDaemon): PeerExchange => {
 		const exchange = createPeerExchange({
 			name: nameOf(index), incarnation, dataCentre: 'a', bind: {host: nameOf(index), port: 1}, everyMs, minSilenceMs, onReport,
 			compose: () => ({...emptyContents, ...contents()}),
--- a/packages/router/src/test/peers/report-codec.test.ts
+++ b/packages/router/src/test/peers/report-codec.test.ts
@@ -3,7 +3,7 @@
 import {assert} from 'chai';
 import {decodeReport, encodeReport, type PeerReport} from '../../peers.js';
 
-/** A report as daemons of seven send it on a usual day. */
+/** A typical report in a fleet of seven daemons. */
 const report: PeerReport = {
 	daemon: 'front-fortaleza-1',
 	incarnation: 1_783_535_558_399,
@@ -27,26 +27,26 @@
 	limits: [['i-5d4fb03dc1', 1_783_535_000_000, 1.5, 300]],
 };
 
-describe('reports as datagrams', () => {
-	it('say what was written', () => {
+describe('report codec', () => {
+	it('decodes what it encoded', () => {
 		assert.deepEqual(decodeReport(encodeReport(report)), report);
 	});
 
-	it('take less than half of the bytes of their text', () => {
-		// Before: the text, 655 bytes. After: 285.
+	it('takes less than half of the bytes of the JSON text', () => {
+		// The text takes 655 bytes, the datagram 285.
 		assert.isBelow(encodeReport(report).length, Buffer.byteLength(JSON.stringify(report)) / 2);
 	});
 
-	it('are read as plain text too, also without what newer daemons add', () => {
-		// While daemons are replaced one after the other, those of the version before
-		// send plain text that says neither how long answers last nor who is due.
+	it('decodes plain JSON, also without values that newer daemons add', () => {
+		// During a rolling update, daemons of the previous version send plain JSON without
+		// the expected end of requests, the planned drains and the placements.
 		const {placed, ...rest} = report;
 		const older = {...rest, loads: [['i-1', 3, 2890, 12_345]], engines: [['i-1', 4, 0, -1]]};
 		const read = decodeReport(Buffer.from(JSON.stringify(older)));
 		assert.deepEqual([read.loads, read.engines, read.placed], [[['i-1', 3, 2890, 12_345, 0]], [['i-1', 4, 0, -1, -1]], []]);
 	});
 
-	it('that are none, or would fill the memory, are refused', () => {
+	it('rejects invalid datagrams and decompression bombs', () => {
 		const mark = Buffer.from([1]);
 		const bomb = deflateRawSync(Buffer.alloc(64 * 1024 * 1024, 32));
 		for (const content of [Buffer.alloc(0), Buffer.from('no report'), mark, Buffer.concat([mark, Buffer.from('no report')]), Buffer.concat([mark, bomb])]) {
--- a/packages/router/src/test/weights/change-under-load.test.ts
+++ b/packages/router/src/test/weights/change-under-load.test.ts
@@ -13,7 +13,7 @@
 import {engineDocument} from './engine-document.js';
 
 const ids = ['e0', 'e1', 'e2', 'e3', 'e4', 'e5'];
-/** Milliseconds for which an engine loads weights once its answers have ended. */
+/** Milliseconds for which an engine loads weights once its requests have ended. */
 const loadMs = 1300;
 /** Milliseconds that one generated token takes. */
 const msPerToken = 5;
@@ -21,22 +21,22 @@
 
 type Engine = {
 	version: number;
-	/** When each answer under way ends. */
+	/** End times of the requests in flight. */
 	ends: Set<number>;
 	orderedTo: number | undefined;
 	loadsUntil: number | undefined;
-	/** From when on it gets no request. */
+	/** Time from which on it gets no requests. */
 	closedAt: number | undefined;
 };
 
-/** For how long each engine got no request around its change, and what callers saw. */
-type Outcome = {awayMs: number[]; refused: number; requests: number; doneMs: number};
+/** For how long each engine got no requests around its change, and the outcome for callers. */
+type Outcome = {downtimesMs: number[]; refused: number; requests: number; doneMs: number};
 
 /**
- * Six engines under 14 long answers a second, of 0.3 to 4 s, and 26 short ones;
- * new weights are named after three seconds.
+ * Simulates six engines with 14 long requests per second, of 0.3 to 4 s each, and 26 short
+ * ones; new weights are named after three seconds.
  */
-async function play(seed: number): Promise<Outcome> {
+async function simulate(seed: number): Promise<Outcome> {
 	const clock = FakeTimers.install({toFake: ['performance', 'setTimeout', 'clearTimeout', 'setInterval', 'clearInterval']});
 	try {
 		const random = xoroshiro128plus(seed);
@@ -74,15 +74,15 @@
 			view, book, health: createHealthTracker(), presence, versions, limits: createLoneLimits(), kept: createKeptParts(), resident: createResidentParts({memoryTokens: view.memoryTokens}),
 			dataCentre: 'a', connectionShare: () => 1, weightsMs: 12_000, daemons: () => 1, random: () => uniformFloat64(random),
 		});
-		const keeper = createWeightsKeeper({
+		const rollout = createWeightsKeeper({
 			name: 'vm-1', view, presence, versions, control, held: () => ({duty: 'weights', fencing: 1, msLeft: 1000}), handoverMs: 3200, announce: () => undefined, weightsMs: 12_000,
 			lastsMs: id => book.load(view.endpoint(id)!).lastsMs, log: createSilentLog(),
 		});
 		const outcome: Outcome = {
-			awayMs: [], refused: 0, requests: 0, doneMs: 0,
+			downtimesMs: [], refused: 0, requests: 0, doneMs: 0,
 		};
 
-		const ask = (outputTokens: number): void => {
+		const sendRequest = (outputTokens: number): void => {
 			outcome.requests++;
 			const chosen = choice.choose({
 				service: 'engines', excluded: new Set(), prompt: {
@@ -116,7 +116,7 @@
 				engine.version = engine.orderedTo;
 				engine.orderedTo = undefined;
 				engine.loadsUntil = undefined;
-				outcome.awayMs.push(performance.now() - engine.closedAt!);
+				outcome.downtimesMs.push(performance.now() - engine.closedAt!);
 			}
 		};
 
@@ -127,15 +127,15 @@
 			}
 
 			if (uniformFloat64(random) < 14 * stepMs / 1000) {
-				ask(Math.round(60 + (uniformFloat64(random) * 740)));
+				sendRequest(Math.round(60 + (uniformFloat64(random) * 740)));
 			}
 
 			if (uniformFloat64(random) < 26 * stepMs / 1000) {
-				ask(10);
+				sendRequest(10);
 			}
 
 			if (at % 100 === 0) {
-				keeper.tick();
+				rollout.tick();
 			}
 
 			for (const [id, engine] of engines) {
@@ -157,17 +157,17 @@
 }
 
 describe('a change of weights under load', () => {
-	it('keeps each engine away for little more than its load, and refuses nobody', async () => {
-		// Engines finish their answers before they load. Without turns that are known
-		// ahead, an engine was away until the longest of its answers had ended: 3.1, 2.6
-		// and 2.9 s in the mean of these three loads, 4.5 s at most. The aim is the load
-		// and half a second around it.
+	it('takes each engine out of service for little longer than its load, and refuses no request', async () => {
+		// Engines finish their requests before they load. Without changes that are announced
+		// ahead, an engine was out of service until its longest request had ended: 3.1, 2.6
+		// and 2.9 s on average under these three loads, 4.5 s at most. The target is the load
+		// plus half a second.
 		for (const seed of [1, 2, 3]) {
-			const {awayMs, refused, doneMs} = await play(seed);
-			const meanMs = awayMs.reduce((sum, ms) => sum + ms, 0) / awayMs.length;
-			assert.lengthOf(awayMs, ids.length);
+			const {downtimesMs, refused, doneMs} = await simulate(seed);
+			const meanMs = downtimesMs.reduce((sum, ms) => sum + ms, 0) / downtimesMs.length;
+			assert.lengthOf(downtimesMs, ids.length);
 			assert.equal(refused, 0);
-			assert.isAtMost(meanMs, loadMs + 500, `seed ${seed}, ${JSON.stringify(awayMs.map(ms => Math.round(ms)))}, done after ${doneMs} ms`);
+			assert.isAtMost(meanMs, loadMs + 500, `seed ${seed}, ${JSON.stringify(downtimesMs.map(ms => Math.round(ms)))}, done after ${doneMs} ms`);
 		}
 	});
 });
--- a/packages/router/src/test/weights/naming-record.test.ts
+++ b/packages/router/src/test/weights/naming-record.test.ts
@@ -14,12 +14,12 @@
 describe('createNamingRecord', () => {
 	let clock: FakeTimers.Clock;
 	let table: ReturnType<typeof createFakeTable>;
-	let unseenMs: number;
+	let feedAge: number;
 
 	beforeEach(() => {
 		clock = FakeTimers.install();
 		table = createFakeTable(() => 'none');
-		unseenMs = 0;
+		feedAge = 0;
 	});
 
 	afterEach(() => {
@@ -29,7 +29,7 @@
 	const start = (name: string): Daemon => {
 		const view = createFleetView(createSilentLog());
 		const record = createNamingRecord({
-			view, storeMs: () => 1_000_000 + performance.now(), unseenMs: () => unseenMs, log: createSilentLog(),
+			view, storeMs: () => 1_000_000 + performance.now(), unseenMs: () => feedAge, log: createSilentLog(),
 		});
 		const leases = createLeaseHolder({
 			name,
@@ -51,10 +51,10 @@
 		record.apply();
 	};
 
-	/** Ages of versions 2, 3 and 4, in seconds. */
+	/** Time since versions 2, 3 and 4 were replaced, in seconds. */
 	const ages = ({view}: Daemon): number[] => [2, 3, 4].map(version => view.namedWeights('m')!.outdatedMs(version) / 1000);
 
-	/** Three namings, five seconds apart; the holder renews its lease until one second after the last. */
+	/** Names three versions, five seconds apart; the holder keeps its lease renewed until five seconds after the last. */
 	const serve = async (): Promise<void> => {
 		const holder = start('vm-1');
 		for (const version of [2, 3, 4]) {
@@ -66,7 +66,7 @@
 		}
 	};
 
-	it('keeps the age of replaced weights when all daemons restart at once', async () => {
+	it('preserves the ages of replaced weights when all daemons restart at once', async () => {
 		await serve();
 		await clock.tickAsync(1000);
 		const restarted = start('vm-2');
@@ -75,7 +75,7 @@
 		assert.deepEqual(ages(restarted), [11, 6, 0]);
 	});
 
-	it('hands the ages on through a second restart, before which the new holder had heard nothing', async () => {
+	it('preserves the ages across a second restart, even if the holder in between received no namings', async () => {
 		await serve();
 		const second = start('vm-2');
 		for (let ms = 0; ms < 4000; ms += 500) {
@@ -89,8 +89,8 @@
 		assert.deepEqual(ages(third), [14, 9, 0]);
 	});
 
-	it('takes a naming that is not listed for one that came right after the last entry', async () => {
-		unseenMs = 300;
+	it('dates a naming that is not listed to the time up to which the record is complete', async () => {
+		feedAge = 300;
 		await serve();
 		await clock.tickAsync(1000);
 		const restarted = start('vm-2');
@@ -99,7 +99,7 @@
 		assert.deepEqual(ages(restarted), [11, 6, 1.8]);
 	});
 
-	it('passes on that a version may have been named unheard', async () => {
+	it('preserves that a version may have been named unobserved', async () => {
 		const holder = start('vm-1');
 		holder.view.acceptWeights('m', 2, 0);
 		await clock.tickAsync(30_000);
@@ -112,7 +112,7 @@
 		assert.deepEqual(ages(restarted), [30, 30, 0]);
 	});
 
-	it('leaves out a record that can\'t be read', () => {
+	it('ignores an invalid record', () => {
 		const daemon = start('vm-1');
 		daemon.record.accept('{"asOf":"soon"}');
 		learn(daemon, 4);
--- a/packages/router/src/test/weights/rollout-cost.test.ts
+++ b/packages/router/src/test/weights/rollout-cost.test.ts
@@ -13,13 +13,13 @@
 type Rollout = {
 	count: number;
 	daemons?: number;
-	/** Engines that can't be reached from 0.6 to 5 s after the first naming. */
+	/** Number of engines that can't be reached from 0.6 to 5 s after the first naming. */
 	unreached?: number;
 	namings?: number;
 };
 
-/** One holder brings engines to new weights, as often as they are named; tells the cost of the last time. */
-async function play({count, daemons = 1, unreached = 0, namings = 1}: Rollout): Promise<Cost> {
+/** Simulates one rollout per naming by a single lease holder; returns the cost of the last one. */
+async function simulate({count, daemons = 1, unreached = 0, namings = 1}: Rollout): Promise<Cost> {
 	const clock = FakeTimers.install({toFake: ['performance', 'setTimeout', 'clearTimeout', 'setInterval', 'clearInterval']});
 	try {
 		const view = createFleetView(createSilentLog());
@@ -36,7 +36,7 @@
 		const cost: Cost = {calls: 0, announcements: 0, doneMs: 0};
 		const changing = new Set<string>();
 		let at = 0;
-		const checkReached = (id: string): void => {
+		const failIfUnreachable = (id: string): void => {
 			if (at >= 600 && at < 5000 && Number(id.slice(1)) < unreached) {
 				throw new Error('No answer.');
 			}
@@ -45,14 +45,14 @@
 		const control: WeightsControl = {
 			async state({id}) {
 				cost.calls++;
-				checkReached(id);
+				failIfUnreachable(id);
 				return {
 					weights: new Map([['m', running.get(id)!]]), waiting: 0, isChanging: changing.has(id), ordersTaken: 0,
 				};
 			},
 			async order({id}, {version}) {
 				cost.calls++;
-				checkReached(id);
+				failIfUnreachable(id);
 				changing.add(id);
 				setTimeout(() => {
 					changing.delete(id);
@@ -61,7 +61,7 @@
 				return 'accepted';
 			},
 		};
-		const keeper = createWeightsKeeper({
+		const rollout = createWeightsKeeper({
 			name: 'vm-1',
 			view,
 			versions: createEngineVersions(),
@@ -81,7 +81,7 @@
 			Object.assign(cost, {calls: 0, announcements: 0, doneMs: 0});
 			view.acceptWeights('m', version, 0);
 			while ([...running.values()].some(one => one < version)) {
-				keeper.tick();
+				rollout.tick();
 				await clock.tickAsync(tickMs);
 				at += tickMs;
 				cost.doneMs += tickMs;
@@ -94,10 +94,10 @@
 	}
 }
 
-describe('the cost of a rollout for its holder', () => {
+describe('cost of a rollout for the lease holder', () => {
 	it('leaves a small VM enough processor time to renew its lease and finish the rollout', async () => {
 		for (const count of [12, 98, 300]) {
-			const {calls, announcements, doneMs} = await play({count});
+			const {calls, announcements, doneMs} = await simulate({count});
 			assert.isAtMost(calls / count, 6, `${count} engines`);
 			assert.isAtMost(announcements / doneMs * 1000, 10, `${count} engines`);
 			assert.isAtMost(doneMs, 8000, `${count} engines`);
@@ -106,15 +106,15 @@
 
 	it('leaves a small VM enough processor time to announce its orders to hundreds of daemons', async () => {
 		for (const daemons of [9, 66, 200, 650]) {
-			const {announcements, doneMs} = await play({count: 98, daemons});
+			const {announcements, doneMs} = await simulate({count: 98, daemons});
 			assert.isAtMost(announcements * daemons / doneMs * 1000, 1000, `${daemons} daemons`);
 			assert.isAtMost(doneMs, 8000, `${daemons} daemons`);
 		}
 	});
 
-	it('is not raised by engines that could not be reached in the rollout before', async () => {
-		const {doneMs} = await play({count: 98, namings: 2});
-		const afterCut = await play({count: 98, unreached: 20, namings: 2});
-		assert.isAtMost(afterCut.doneMs, doneMs + 1000);
+	it('does not grow after a rollout in which engines could not be reached', async () => {
+		const {doneMs} = await simulate({count: 98, namings: 2});
+		const afterOutage = await simulate({count: 98, unreached: 20, namings: 2});
+		assert.isAtMost(afterOutage.doneMs, doneMs + 1000);
 	});
 });
--- a/packages/router/src/test/weights/keeper-histories.test.ts
+++ b/packages/router/src/test/weights/rollout-histories.test.ts
@@ -4,7 +4,7 @@
 import {createEndpointPresence, createFleetView, type FleetView} from '../../fleet.js';
 import {createSilentLog} from '../../observability.js';
 import {
-	createEngineVersions, createWeightsKeeper, type WeightsControl, type WeightsKeeper,
+	createEngineVersions, createWeightsKeeper, type WeightsControl, type WeightsRollout,
 } from '../../weights.js';
 import {engineDocument} from './engine-document.js';
 
@@ -13,21 +13,21 @@
 const leaseMs = 3000;
 const handoverMs = leaseMs + 200;
 const loadMs = 500;
-const dayMs = 20_000;
+const durationMs = 20_000;
 const stepMs = 100;
 
-/** What happens on one day: who holds the lease from when on, and when weights are named. */
-const dayArbitrary = fc.record({
-	holders: fc.array(fc.record({at: fc.integer({min: 0, max: dayMs}), daemon: fc.constantFrom(...daemons)}), {minLength: 2, maxLength: 8}),
-	namings: fc.array(fc.integer({min: 0, max: dayMs - 4000}), {minLength: 1, maxLength: 5}),
+/** A history: who holds the lease from when on, when weights are named, and which answers are lost. */
+const historyArbitrary = fc.record({
+	holders: fc.array(fc.record({at: fc.integer({min: 0, max: durationMs}), daemon: fc.constantFrom(...daemons)}), {minLength: 2, maxLength: 8}),
+	namings: fc.array(fc.integer({min: 0, max: durationMs - 4000}), {minLength: 1, maxLength: 5}),
 	lost: fc.array(fc.boolean(), {minLength: 8, maxLength: 8}),
 });
 
-type Day = {holders: Array<{at: number; daemon: string}>; namings: number[]; lost: boolean[]};
+type History = {holders: Array<{at: number; daemon: string}>; namings: number[]; lost: boolean[]};
 
 type Order = {at: number; daemon: string; id: string};
 
-describe('createWeightsKeeper over generated histories', () => {
+describe('createWeightsRollout with generated histories', () => {
 	let clock: FakeTimers.Clock;
 
 	beforeEach(() => {
@@ -38,8 +38,8 @@
 		clock.uninstall();
 	});
 
-	/** Engines that take any order, whoever gives it; some of their answers are lost. */
-	const createEngines = (day: Day, orders: Order[]) => {
+	/** Engines that accept every order from any daemon; some of their answers are lost. */
+	const createEngines = (history: History, orders: Order[]) => {
 		const versions = new Map(ids.map(id => [id, 1]));
 		const changing = new Set<string>();
 		const taken = new Map(ids.map(id => [id, 0]));
@@ -58,7 +58,7 @@
 					changing.delete(id);
 					versions.set(id, version);
 				}, loadMs);
-				if (day.lost[(count + orders.length) % day.lost.length]) {
+				if (history.lost[(count + orders.length) % history.lost.length]) {
 					throw new Error('The answer was lost.');
 				}
 
@@ -79,25 +79,25 @@
 		return view;
 	};
 
-	const play = async (day: Day): Promise<Order[]> => {
+	const simulate = async (history: History): Promise<Order[]> => {
 		const orders: Order[] = [];
-		const controlOf = createEngines(day, orders);
+		const controlOf = createEngines(history, orders);
 		const lease: {holder: string | undefined; fencing: number} = {holder: undefined, fencing: 1};
-		const keepers = new Map<string, WeightsKeeper>();
+		const rollouts = new Map<string, WeightsRollout>();
 		const views = daemons.map(() => createView());
 		for (const [index, name] of daemons.entries()) {
-			const tellOthers = (): void => {
-				for (const [other, keeper] of keepers) {
+			const informPeers = (): void => {
+				for (const [other, rollout] of rollouts) {
 					for (const id of other === name ? [] : ids) {
-						const sinceMs = keepers.get(name)!.sinceOrderMs(id);
+						const sinceMs = rollouts.get(name)!.sinceOrderMs(id);
 						if (Number.isFinite(sinceMs)) {
-							keeper.heardOrder(id, sinceMs);
+							rollout.heardOrder(id, sinceMs);
 						}
 					}
 				}
 			};
 
-			keepers.set(name, createWeightsKeeper({
+			rollouts.set(name, createWeightsKeeper({
 				name,
 				view: views[index],
 				versions: createEngineVersions(),
@@ -105,7 +105,7 @@
 				held: () => lease.holder === name ? {duty: 'weights', fencing: lease.fencing, msLeft: 1000} : undefined,
 				handoverMs,
 				presence: createEndpointPresence(createSilentLog()),
-				announce: tellOthers,
+				announce: informPeers,
 				weightsMs: 8000,
 				lastsMs: () => 0,
 				log: createSilentLog(),
@@ -113,13 +113,13 @@
 		}
 
 		let version = 1;
-		for (let at = 0; at < dayMs; at += stepMs) {
-			for (const {daemon} of day.holders.filter(item => item.at >= at && item.at < at + stepMs)) {
+		for (let at = 0; at < durationMs; at += stepMs) {
+			for (const {daemon} of history.holders.filter(item => item.at >= at && item.at < at + stepMs)) {
 				lease.fencing += lease.holder === daemon ? 0 : 1;
 				lease.holder = daemon;
 			}
 
-			for (const naming of day.namings) {
+			for (const naming of history.namings) {
 				if (naming >= at && naming < at + stepMs) {
 					version++;
 					for (const view of views) {
@@ -128,8 +128,8 @@
 				}
 			}
 
-			for (const keeper of keepers.values()) {
-				keeper.tick();
+			for (const rollout of rollouts.values()) {
+				rollout.tick();
 			}
 
 			await clock.tickAsync(stepMs);
@@ -138,11 +138,11 @@
 		return orders;
 	};
 
-	it('lets no two daemons order one engine within the time that a lease lasts', async () => {
-		// The lease changes hands at any moment, in the middle of a change and with
-		// answers lost. Engines that don't check fencing numbers obey both holders.
-		await fc.assert(fc.asyncProperty(dayArbitrary, async day => {
-			const orders = await play(day);
+	it('never lets two daemons order the same engine within the duration of a lease', async () => {
+		// The lease may pass to another daemon at any time, also during a change and when
+		// answers are lost. Engines that don't check fencing tokens obey both holders.
+		await fc.assert(fc.asyncProperty(historyArbitrary, async history => {
+			const orders = await simulate(history);
 			const last = new Map<string, Order>();
 			for (const order of orders) {
 				const before = last.get(order.id);
--- a/packages/router/src/test/weights/weights-keeper.test.ts
+++ b/packages/router/src/test/weights/weights-rollout.test.ts
@@ -5,23 +5,23 @@
 } from '../../fleet.js';
 import {createSilentLog} from '../../observability.js';
 import {
-	createEngineVersions, createWeightsKeeper, type EngineVersions, type WeightsControl, type WeightsKeeper,
+	createEngineVersions, createWeightsKeeper, type EngineVersions, type WeightsControl, type WeightsRollout,
 } from '../../weights.js';
 import {engineDocument} from './engine-document.js';
 
-/** Engines that obey: runs end, then weights load. */
+/** Simulated engines that accept every order and then load weights. */
 type Engines = {
 	control: WeightsControl;
 	versions: Map<string, number>;
-	/** Orders in the order of their arrival: time, engine, version, fencing number. */
+	/** Orders by arrival: time in milliseconds, engine, version, fencing token. */
 	orders: Array<[at: number, id: string, version: number, fencing: number]>;
-	mostChanging: number;
-	/** Requests that each engine has queued. */
+	maxChanging: number;
+	/** Number of queued requests that each engine reports. */
 	waiting: number;
 	/** Engines that don't answer. */
 	silent: Set<string>;
-	/** Engines in the order in which they were asked for their state. */
-	asked: string[];
+	/** Engine of each call for the state, by arrival. */
+	stateCalls: string[];
 };
 
 const loadMs = 700;
@@ -33,13 +33,13 @@
 	const engines: Engines = {
 		versions,
 		orders: [],
-		mostChanging: 0,
+		maxChanging: 0,
 		waiting: 0,
 		silent: new Set(),
-		asked: [],
+		stateCalls: [],
 		control: {
 			async state({id}) {
-				engines.asked.push(id);
+				engines.stateCalls.push(id);
 				if (engines.silent.has(id)) {
 					throw new Error('No answer.');
 				}
@@ -52,7 +52,7 @@
 				engines.orders.push([Math.round(performance.now()), id, version, fencing]);
 				changing.add(id);
 				taken.set(id, (taken.get(id) ?? 0) + 1);
-				engines.mostChanging = Math.max(engines.mostChanging, changing.size);
+				engines.maxChanging = Math.max(engines.maxChanging, changing.size);
 				setTimeout(() => {
 					changing.delete(id);
 					versions.set(id, version);
@@ -64,21 +64,21 @@
 	return engines;
 }
 
-describe('createWeightsKeeper', () => {
+describe('createWeightsRollout', () => {
 	const ids = Array.from({length: 12}, (_item, index) => `e${index}`);
 	let clock: FakeTimers.Clock;
 	let view: FleetView;
 	let engines: Engines;
 	let versions: EngineVersions;
 	let fencing: number | undefined;
-	let keeper: WeightsKeeper;
+	let rollout: WeightsRollout;
 	let timer: NodeJS.Timeout;
-	/** Milliseconds until the last answer of an engine ends. */
-	let lasting: Map<string, number>;
-	/** Milliseconds between two requests that an engine with a limit takes. */
-	let limited: Map<string, number>;
+	/** Expected milliseconds until the last request in flight ends, by engine. */
+	let remainingMs: Map<string, number>;
+	/** Minimum milliseconds between two requests to an engine with a rate limit, by engine. */
+	let minRequestIntervalMs: Map<string, number>;
 
-	const open = (): WeightsKeeper => createWeightsKeeper({
+	const createRollout = (): WeightsRollout => createWeightsKeeper({
 		name: 'vm-1',
 		view,
 		versions,
@@ -87,8 +87,8 @@
 		handoverMs: 3200,
 		announce: () => undefined,
 		weightsMs: 8000,
-		lastsMs: id => lasting.get(id) ?? 0,
-		limitedMs: ({id}) => limited.get(id),
+		lastsMs: id => remainingMs.get(id) ?? 0,
+		limitedMs: ({id}) => minRequestIntervalMs.get(id),
 		presence: createEndpointPresence(createSilentLog()),
 		log: createSilentLog(),
 	});
@@ -107,11 +107,11 @@
 		engines = createEngines(ids);
 		versions = createEngineVersions();
 		fencing = 1;
-		lasting = new Map();
-		limited = new Map();
-		keeper = open();
+		remainingMs = new Map();
+		minRequestIntervalMs = new Map();
+		rollout = createRollout();
 		timer = setInterval(() => {
-			keeper.tick();
+			rollout.tick();
 		}, 100);
 	});
 
@@ -120,29 +120,29 @@
 		clock.uninstall();
 	});
 
-	it('brings all engines to the weights that are named, a third of them at a time at most', async () => {
+	it('updates all engines to the named weights, at most a third of them at a time', async () => {
 		view.acceptWeights('m', 2, 0);
 		await clock.tickAsync(5000);
 		assert.deepEqual([...engines.versions.values()], ids.map(() => 2));
 		assert.lengthOf(engines.orders, ids.length);
-		assert.isAtMost(engines.mostChanging, ids.length / 3);
+		assert.isAtMost(engines.maxChanging, ids.length / 3);
 	});
 
-	it('asks an engine that names a limit no more often than it allows', async () => {
-		// Guards against polls that fill the limit of an engine in need.
+	it('polls an engine with a rate limit no more often than the limit allows', async () => {
+		// Guards against polls that use up the limit of an overloaded engine.
 		engines.waiting = 3;
-		limited.set('e0', 1250);
-		lasting.set('e0', 0);
+		minRequestIntervalMs.set('e0', 1250);
+		remainingMs.set('e0', 0);
 		view.acceptWeights('m', 2, 0);
 		await clock.tickAsync(5000);
-		assert.isAtMost(engines.asked.filter(id => id === 'e0').length, 5);
+		assert.isAtMost(engines.stateCalls.filter(id => id === 'e0').length, 5);
 		assert.equal(engines.versions.get('e0'), 2);
 	});
 
-	it('lets what an engine has queued begin before it orders it to change', async () => {
-		// An engine refuses all that it has queued once it is ordered, and those
-		// callers may be sent to one engine only. So it gets nothing new first, its
-		// queue empties, and then it is ordered; a queue that stays is not waited for.
+	it('orders an engine only once its queue is empty, or the wait for it is over', async () => {
+		// An engine rejects all queued requests when it is ordered, and some of them may
+		// not be sent to a second engine. So it first gets no new requests until its queue
+		// is empty, and is ordered then; the wait for a queue that doesn't empty is limited.
 		engines.waiting = 3;
 		view.acceptWeights('m', 2, 0);
 		await clock.tickAsync(500);
@@ -156,9 +156,9 @@
 		assert.lengthOf(engines.orders, ids.length);
 	});
 
-	it('keeps two thirds of the engines that still serve, when others have crashed', async () => {
-		// Four of twelve engines are listed and gone. A third of the list would leave
-		// four engines for all callers.
+	it('keeps two thirds of the live engines in service when others have crashed', async () => {
+		// Four of twelve engines are listed but gone. Changing a third of the list would
+		// leave four engines for all callers.
 		for (const id of ids.slice(0, 4)) {
 			engines.silent.add(id);
 		}
@@ -166,7 +166,7 @@
 		view.acceptWeights('m', 2, 0);
 		await clock.tickAsync(6500);
 		assert.lengthOf(engines.orders, 8);
-		assert.isAtMost(engines.mostChanging, 2);
+		assert.isAtMost(engines.maxChanging, 2);
 	});
 
 	it('gives no order without the lease', async () => {
@@ -176,14 +176,14 @@
 		assert.lengthOf(engines.orders, 0);
 	});
 
-	it('orders no engine that another daemon ordered a moment ago', async () => {
-		// The daemon before was cut off a second after it had told an engine to
-		// change. Engines that don't check fencing numbers obey both, so this daemon
-		// leaves that one alone until the bound has passed, and orders the others.
+	it('orders no engine that another daemon has just ordered', async () => {
+		// The previous lease holder was cut off a second after it had ordered an engine to
+		// change. Engines that don't check fencing tokens obey both, so this daemon doesn't
+		// order that engine until the handover time has passed, and orders the others.
 		fencing = 2;
-		keeper = open();
+		rollout = createRollout();
 		await clock.tickAsync(4000);
-		keeper.heardOrder('e3', 1000);
+		rollout.heardOrder('e3', 1000);
 		const heardAt = performance.now();
 		view.acceptWeights('m', 2, 0);
 		await clock.tickAsync(4000);
@@ -192,22 +192,21 @@
 		assert.isBelow(engines.orders[0][0] - heardAt, 500);
 	});
 
-	it('waits after its start, when it can\'t have heard of the last orders', async () => {
-		// All daemons are killed and start again. The new holder of the lease heard
-		// no report of the orders that the former one gave just before.
+	it('waits after its start, because it can\'t know the last orders', async () => {
+		// All daemons are killed and restarted. The new lease holder received no report of
+		// the orders that the previous one gave just before.
 		fencing = 2;
-		keeper = open();
+		rollout = createRollout();
 		const startedAt = performance.now();
 		view.acceptWeights('m', 2, 0);
 		await clock.tickAsync(5000);
 		assert.isAtLeast(engines.orders[0][0] - startedAt, 3200);
 	});
 
-	it('changes engines first whose weights are too old for any request, and no more at a time', async () => {
-		// The daemon that gives orders was away for seconds, and half of the engines
-		// have weights that no request may begin on. Loads share the rate of the weight
-		// store: all at once they would be done no sooner, and the engines that had
-		// begun before them later.
+	it('changes engines with unusable weights first, and no more at a time', async () => {
+		// There was no lease holder for seconds, and half of the engines have weights on
+		// which no request may begin. Loads share the rate of the weight store: all at once
+		// they would end no sooner, and would delay the loads that began before them.
 		fencing = undefined;
 		view.acceptWeights('m', 2, 0);
 		for (const id of ids.slice(6)) {
@@ -222,32 +221,32 @@
 		await clock.tickAsync(5000);
 		assert.deepEqual([...engines.versions.values()], ids.map(() => 3));
 		assert.sameMembers(engines.orders.slice(0, 6).map(([, id]) => id), ids.slice(0, 6));
-		assert.isAtMost(engines.mostChanging, ids.length / 3);
+		assert.isAtMost(engines.maxChanging, ids.length / 3);
 	});
 
-	it('counts engines that carry out an older order among those that change', async () => {
-		// New weights are named while a third of the engines load those before them.
-		// These go on and serve nobody until they are done; as many others on top
-		// would leave a third of the engines for all callers.
+	it('counts engines that carry out an earlier order as changing', async () => {
+		// New weights are named while a third of the engines load the previous ones. These
+		// engines finish their loads and serve no requests until then; changing as many
+		// others too would leave a third of the engines for all callers.
 		view.acceptWeights('m', 2, 0);
 		await clock.tickAsync(350);
 		assert.lengthOf(engines.orders, ids.length / 3);
 		for (const [, id] of engines.orders) {
-			// They end what they run, so that others look freer.
-			lasting.set(id, 200);
+			// They still finish running requests, so that other engines are preferred.
+			remainingMs.set(id, 200);
 		}
 
 		view.acceptWeights('m', 3, 0);
 		await clock.tickAsync(600);
-		assert.isAtMost(engines.mostChanging, ids.length / 3);
+		assert.isAtMost(engines.maxChanging, ids.length / 3);
 		await clock.tickAsync(6000);
 		assert.deepEqual([...engines.versions.values()], ids.map(() => 3));
-		assert.isAtMost(engines.mostChanging, ids.length / 3);
+		assert.isAtMost(engines.maxChanging, ids.length / 3);
 	});
 
-	it('orders an engine once though its state is told late', async () => {
-		// An engine's state is some hundred milliseconds old when it is told: it does
-		// not show the order that the engine has accepted.
+	it('orders an engine only once though its reported state lags behind', async () => {
+		// The reported state of an engine is some hundred milliseconds old: it doesn't show
+		// an order that the engine has just accepted.
 		const {state} = engines.control;
 		const told = new Map<string, Array<{at: number; state: Awaited<ReturnType<typeof state>>}>>();
 		engines.control.state = async endpoint => {
@@ -262,11 +261,11 @@
 		assert.lengthOf(engines.orders, ids.length);
 	});
 
-	it('keeps sending short requests to an engine whose long answers it waits for, and no further long ones', async () => {
-		// An engine finishes what it runs before it loads, and serves nobody meanwhile.
-		// Its answers of some seconds end first; then it is ordered and away for the
-		// load alone.
-		lasting.set('e0', 1200);
+	it('keeps sending short requests to an engine whose long requests it waits for, and no further long ones', async () => {
+		// An engine finishes its running requests before it loads, and takes no others
+		// meanwhile. So its requests of some seconds end first; then it is ordered, and is
+		// out of service for the load alone.
+		remainingMs.set('e0', 1200);
 		for (const id of ids.slice(1)) {
 			versions.seen(id, 2);
 			engines.versions.set(id, 2);
@@ -276,14 +275,14 @@
 		await clock.tickAsync(1000);
 		assert.lengthOf(engines.orders, 0);
 		assert.deepInclude(versions.of(view.endpoint('e0')!, 'm'), {isChanging: false, dueInMs: 0});
-		lasting.set('e0', 200);
+		remainingMs.set('e0', 200);
 		await clock.tickAsync(600);
 		assert.lengthOf(engines.orders, 1);
 	});
 
-	it('waits for long answers no longer than a while', async () => {
-		// A caller may read its answer slowly, and answers may be expected wrongly.
-		lasting.set('e0', 60_000);
+	it('limits the wait for long requests', async () => {
+		// A caller may read its response slowly, and the expected end of a request may be wrong.
+		remainingMs.set('e0', 60_000);
 		view.acceptWeights('m', 2, 0);
 		await clock.tickAsync(9000);
 		assert.deepEqual([...engines.versions.values()], ids.map(() => 2));
