--- a/packages/entry/src/hickorywalk-entry.ts
+++ b/packages/entry/src/hickorywalk-entry.ts
@@ -1,4 +1,4 @@
-/** The program of the entry VMs. */
+/** The daemon of an entry VM. */
 import process from 'node:process';
 import {parseArgs} from 'node:util';
 import {BootSettingsError, readBootSettings, settingsVariable} from '@hickorywalk/platform';
@@ -6,30 +6,30 @@
 import sonicBoom from 'sonic-boom';
 import {startEntryDaemon} from './lib/entry-daemon.js';
 
-/** Bytes of log lines that may wait for a slow reader; further lines are dropped. */
-const mostLogBytes = 256 * 1024;
-/** Longest time for which a log line waits for others; a process that is killed loses so much. */
+/** Upper bound on log bytes queued for a slow reader; further lines are dropped. */
+const maxQueuedLogBytes = 256 * 1024;
+/** Longest time for which a log line is buffered; a killed process loses the lines of this time. */
 const logFlushMs = 250;
 const maxBatchChars = 16 * 1024;
-const mostPort = 65_535;
-const exitSettings = 2;
-const exitFault = 1;
+const maxPort = 65_535;
+const exitCodeInvalidSettings = 2;
+const exitCodeUncaughtException = 1;
 
-// A pipe whose reader stops would block every write and with it all requests;
-// this writer queues a bounded number of bytes and drops what is beyond.
-const output = new sonicBoom.SonicBoom({fd: 1, sync: false, maxLength: mostLogBytes});
-const lines = createLineBatch({
+// A blocking write to a pipe whose reader has stopped would block all requests.
+// This writer queues a bounded number of bytes and drops the rest.
+const output = new sonicBoom.SonicBoom({fd: 1, sync: false, maxLength: maxQueuedLogBytes});
+const logBatch = createLineBatch({
 	write(text) {
 		output.write(text);
 	},
 	flushMs: logFlushMs,
 	maxChars: maxBatchChars,
 });
-setLogWriter(lines.add);
+setLogWriter(logBatch.add);
 
-/** Writes all log lines before the process ends. */
+/** Writes all buffered log lines before the process exits. */
 function flushLog(): void {
-	lines.flush();
+	logBatch.flush();
 	output.flushSync();
 }
 
@@ -38,33 +38,36 @@
 const settingsPath = process.env[settingsVariable];
 if (settingsPath === undefined) {
 	process.stderr.write(`Set ${settingsVariable} to the path of the settings file.\n`);
-	process.exit(exitSettings);
+	process.exit(exitCodeInvalidSettings);
 }
 
 process.on('uncaughtException', err => {
-	log.error('A fault was not caught.', {err});
+	log.error('Uncaught exception.', {err});
 	process.stderr.write(`${err.stack ?? String(err)}\n`);
 	flushLog();
-	process.exit(exitFault);
+	process.exit(exitCodeUncaughtException);
 });
 
-/** Reads the settings anew and says what came of it; a file that is wrong changes nothing. */
-function checkSettingsAgain(path: string): void {
+/** Validates the settings file and logs the result; the running daemon keeps its settings. */
+function validateSettings(path: string): void {
 	try {
 		readBootSettings(path);
-		log.info('Settings were read anew; they count from the next start.');
+		log.info('Settings file is valid; changes take effect at the next start.');
 	} catch (error) {
-		log.warn('Settings are refused, the old ones stay.', {err: error});
+		log.warn('Settings file is invalid; the current settings stay in effect.', {err: error});
 	}
 }
 
-/** Options of the command line. */
+/**
+ * Parses the command line.
+ * @throws {BootSettingsError} naming the option that is invalid.
+ */
 function readOptions(): {check: boolean; metricsPort: number | undefined} {
 	const {values} = parseArgs({options: {check: {type: 'boolean', default: false}, 'metrics-port': {type: 'string'}}});
 	const text = values['metrics-port'];
 	const metricsPort = text === undefined ? undefined : Number(text);
-	if (metricsPort !== undefined && !(Number.isInteger(metricsPort) && metricsPort >= 0 && metricsPort <= mostPort)) {
-		throw new BootSettingsError(`--metrics-port is ${text}; give a whole number from 0 to ${mostPort}.`);
+	if (metricsPort !== undefined && !(Number.isInteger(metricsPort) && metricsPort >= 0 && metricsPort <= maxPort)) {
+		throw new BootSettingsError(`--metrics-port is ${text}; expected an integer from 0 to ${maxPort}.`);
 	}
 
 	return {check: values.check, metricsPort};
@@ -74,7 +77,7 @@
 	const {check, metricsPort} = readOptions();
 	const settings = readBootSettings(path);
 	if (check) {
-		process.stdout.write(`The settings of ${settings.name} are right.\n`);
+		process.stdout.write(`The settings of ${settings.name} are valid.\n`);
 		process.exit(0);
 	}
 
@@ -87,12 +90,12 @@
 		})();
 	});
 	process.on('SIGHUP', () => {
-		checkSettingsAgain(path);
+		validateSettings(path);
 	});
 }
 
 main(settingsPath).catch((error: unknown) => {
 	const text = error instanceof BootSettingsError ? error.message : String(error instanceof Error ? error.stack : error);
 	process.stderr.write(`${text}\n`);
-	process.exit(exitSettings);
+	process.exit(exitCodeInvalidSettings);
 });
--- a/packages/entry/src/hickorywalk-explain.ts
+++ b/packages/entry/src/hickorywalk-explain.ts
@@ -1,7 +1,7 @@
 /**
- * Explains what logs tell: `hickorywalk-explain ID [FILE...]` prints the story of
- * one request, `hickorywalk-explain --day [FILE...]` the sums of all; without files
- * lines come by standard input.
+ * Explains requests from log files. `hickorywalk-explain ID [FILE...]` prints the log lines
+ * about one request, `hickorywalk-explain --day [FILE...]` statistics of all requests. Without
+ * files, lines are read from standard input.
  */
 import {createReadStream} from 'node:fs';
 import process from 'node:process';
@@ -10,9 +10,9 @@
 import {explainDay} from './lib/explain-day.js';
 import {explainRequest} from './lib/explain.js';
 
-const usage = 'Give the id of a request, or --day, and files with log lines unless they come by standard input.\n';
-const exitUsage = 2;
-const exitNothing = 1;
+const usage = 'Usage: hickorywalk-explain (ID | --day) [FILE...]\nReads log lines from standard input if no file is given.\n';
+const exitCodeUsage = 2;
+const exitCodeNoMatch = 1;
 
 async function readLines(files: readonly string[]): Promise<string[]> {
 	const lines: string[] = [];
@@ -25,10 +25,10 @@
 	return lines;
 }
 
-/** What is asked for: one request, or with no id a whole day. */
+/** Without `requestId`, all requests are summarized. */
 type Options = {requestId: string | undefined; files: string[]};
 
-/** `undefined` when the command line makes no sense. */
+/** Returns `undefined` if the command line is invalid. */
 function readOptions(): Options | undefined {
 	try {
 		const {values, positionals} = parseArgs({options: {day: {type: 'boolean', default: false}}, allowPositionals: true});
@@ -47,15 +47,15 @@
 const options = readOptions();
 if (options === undefined) {
 	process.stderr.write(usage);
-	process.exit(exitUsage);
+	process.exit(exitCodeUsage);
 }
 
 const {requestId, files} = options;
 const lines = await readLines(files);
-const story = requestId === undefined ? explainDay(lines) : explainRequest(lines, requestId);
-if (story.length === 0) {
-	process.stderr.write(requestId === undefined ? 'No line tells of a request.\n' : `No line tells of the request ${requestId}.\n`);
-	process.exit(exitNothing);
+const report = requestId === undefined ? explainDay(lines) : explainRequest(lines, requestId);
+if (report.length === 0) {
+	process.stderr.write(requestId === undefined ? 'No log line about a request found.\n' : `No log line about request ${requestId} found.\n`);
+	process.exit(exitCodeNoMatch);
 }
 
-process.stdout.write(`${story.join('\n')}\n`);
+process.stdout.write(`${report.join('\n')}\n`);
--- a/packages/entry/src/lib/entry-daemon.ts
+++ b/packages/entry/src/lib/entry-daemon.ts
@@ -7,19 +7,19 @@
 
 /** A running daemon. */
 export type EntryDaemon = {
-	/** Stops without cutting a request; resolves when all is done or time is up. */
+	/** Stops without aborting requests in flight; resolves when they have ended, or when the platform's stop timeout is near. */
 	stop: () => Promise<void>;
 };
 
-/** Between two counts of log lines that were left out, in milliseconds. */
-const linesEveryMs = 1000;
+/** Interval of reporting dropped log lines, in milliseconds. */
+const droppedLinesCheckMs = 1000;
 
-/** Time kept back from the platform's limit for the last steps of a stop, in milliseconds. */
+/** Part of the platform's stop timeout that is reserved for the last steps of a stop, in milliseconds. */
 const stopReserveMs = 700;
 
-/** What the command line says. */
+/** Options from the command line. */
 export type EntryOptions = {
-	/** Port at which metrics are given, beside the readiness address. */
+	/** Port at which metrics are served, in addition to the readiness address. */
 	metricsPort?: number | undefined;
 };
 
@@ -27,14 +27,14 @@
 export async function startEntryDaemon(settings: BootSettings, {metricsPort}: EntryOptions = {}): Promise<EntryDaemon> {
 	const {cradle: parts} = createEntryParts(settings);
 	const {
-		state, log, timings, view, server, operatorFeed, endpointFeed, metrics, lines,
+		state, log, timings, view, server, operatorFeed, endpointFeed, metrics, logLineBudget,
 	} = parts;
 	log.info('Daemon starts.', {incarnation: parts.incarnation});
 
 	const isReady = (): boolean => !state.isStopping && operatorFeed.newestChange() > 0 && endpointFeed.newestChange() > 0 && view.current() !== undefined;
 	const readiness = createReadinessServer(isReady, [readinessPath]);
 	serveMetrics(readiness, metrics.text);
-	metrics.watch({underWay: parts.forwarder.underWay, peersHeard: () => parts.peers.live().length});
+	metrics.registerGauges({requestsInFlight: parts.forwarder.underWay, livePeers: () => parts.peers.live().length});
 	view.onDocument(({document}) => {
 		server.limit(document.limits);
 	});
@@ -45,13 +45,13 @@
 	parts.refusalRows.start();
 	void parts.leases.start();
 	const keeperTimer = setInterval(parts.keeper.tick, timings.keeperEveryMs);
-	const linesTimer = setInterval(() => {
-		const count = lines.takeLeftOut();
+	const droppedLinesTimer = setInterval(() => {
+		const count = logLineBudget.takeLeftOut();
 		if (count > 0) {
-			metrics.linesLeftOut(count);
-			log.warn('Lines were left out.', {count});
+			metrics.logLinesDropped(count);
+			log.warn('Log lines were dropped.', {count});
 		}
-	}, linesEveryMs);
+	}, droppedLinesCheckMs);
 	log.info('Daemon listens.', {ms: Math.round(performance.now())});
 	if (metricsPort !== undefined) {
 		await listenForMetrics(metrics.text, {host: settings.peerPorts.host, port: metricsPort}, log);
@@ -62,13 +62,13 @@
 		state.isStopping = true;
 		log.info('Daemon stops.', {count: parts.forwarder.underWay()});
 		clearInterval(keeperTimer);
-		clearInterval(linesTimer);
+		clearInterval(droppedLinesTimer);
 		parts.refusalRows.close();
 		await parts.leases.release();
 		parts.leases.close();
-		await pause(timings.balancerMs);
+		await pause(timings.balancerDelayMs);
 		state.isClosed = true;
-		await Promise.race([server.close(), pause(settings.stopMs - timings.balancerMs - stopReserveMs)]);
+		await Promise.race([server.close(), pause(settings.stopMs - timings.balancerDelayMs - stopReserveMs)]);
 		await Promise.race([Promise.all([parts.peers.leave(), parts.directory.leave()]), pause(stopReserveMs / 2)]);
 		log.info('Daemon has stopped.', {ms: Math.round(performance.now() - startedAt), count: parts.forwarder.underWay()});
 	};
@@ -76,11 +76,11 @@
 	return {stop};
 }
 
-/** A port that another program holds costs the metrics there, and no request. */
+/** If the port is taken, only the metrics at that port are missing; requests are still served. */
 async function listenForMetrics(text: () => Promise<string>, address: {host: string; port: number}, log: Log): Promise<void> {
 	try {
 		await createMetricsServer(text).listen(address);
 	} catch (error) {
-		log.warn('Metrics are not given at their own port.', {err: error});
+		log.warn('Metrics port could not be opened.', {err: error});
 	}
 }
--- a/packages/entry/src/lib/entry-parts.ts
+++ b/packages/entry/src/lib/entry-parts.ts
@@ -14,7 +14,7 @@
 import {createEngineVersions} from 'hickorywalk/weights.js';
 import {createDaemonMetrics} from './daemon-metrics.js';
 import {timingsFor} from './timings.js';
-import {wireKeeper, wireLeases, wireNamingRecord} from './wiring/duty-wiring.js';
+import {wireKeeper, wireLeases, wireNamingRecord} from './wiring/lease-wiring.js';
 import {wireEndpointFeed, wireOperatorFeed} from './wiring/feed-wiring.js';
 import {type EntryParts} from './wiring/parts.js';
 import {wireDirectory, wirePeers} from './wiring/peer-wiring.js';
@@ -23,13 +23,13 @@
 	wireBudgets, wireChoice, wireEvents, wireLimits, wireQuota,
 } from './wiring/request-wiring.js';
 
-const endpointConnectMs = 300;
+const connectTimeoutMs = 300;
 
 /** Log lines per second; bounds the CPU time spent on logging. */
-const linesPerSecond = {answered: 100, other: 60};
+const logLinesPerSecond = {answered: 100, other: 60};
 
 /** Upper bound on open connections per endpoint; admission normally stays far below it. */
-const connectionsPerEndpoint = 512;
+const maxConnectionsPerEndpoint = 512;
 
 /** Creates the container of one daemon. */
 export function createEntryParts(settings: BootSettings): AwilixContainer<EntryParts> {
@@ -45,7 +45,7 @@
 			// Each renewal of the lease is reported to all peers, and a plan can't outlive its lease.
 			planRepeatMs: () => Math.min(parts.peers.silenceMs(), parts.timings.leaseMs),
 		})).singleton(),
-		book: asFunction((parts: EntryParts) => createEndpointBook({
+		endpointLoads: asFunction((parts: EntryParts) => createEndpointBook({
 			onLarge() {
 				parts.peers.sendSoon();
 			},
@@ -55,29 +55,29 @@
 		health: asFunction(() => createHealthTracker({
 			consecutiveFailures: 2, ejectionMs: 1000, longestEjectionMs: 8000, returnMs: 3000,
 		})).singleton(),
-		kept: asFunction(() => createKeptParts()).singleton(),
-		resident: asFunction(({view}: EntryParts) => createResidentParts({memoryTokens: view.memoryTokens})).singleton(),
+		storedParts: asFunction(() => createKeptParts()).singleton(),
+		residentParts: asFunction(({view}: EntryParts) => createResidentParts({memoryTokens: view.memoryTokens})).singleton(),
 		quota: asFunction(wireQuota).singleton(),
 		quarantine: asFunction(wireQuarantine).singleton(),
 		refusalRows: asFunction(wireRefusalRows).singleton(),
 		crashWatch: asFunction(wireCrashWatch).singleton(),
 		limits: asFunction(wireLimits).singleton(),
 		choice: asFunction(wireChoice).singleton(),
-		store: asFunction(({timings, metrics}: EntryParts) => createStoreClient({address: settings.storeAddress, callMs: timings.storeAnswerMs * 2, onCall: metrics.storeCalled})).singleton(),
+		store: asFunction(({timings, metrics}: EntryParts) => createStoreClient({address: settings.storeAddress, timeoutMs: timings.storeTimeoutMs * 2, onCall: metrics.storeCalled})).singleton(),
 		ownTable: asFunction(({store}: EntryParts) => store.table('hickorywalk')).singleton(),
 		operatorFeed: asFunction(wireOperatorFeed).singleton(),
 		endpointFeed: asFunction(wireEndpointFeed).singleton(),
 		peers: asFunction(wirePeers).singleton(),
 		directory: asFunction(wireDirectory).singleton(),
 		leases: asFunction(wireLeases).singleton(),
-		control: asFunction(({timings}: EntryParts) => createEndpointControl({callMs: timings.engineCallMs})).singleton(),
+		control: asFunction(({timings}: EntryParts) => createEndpointControl({timeoutMs: timings.engineTimeoutMs})).singleton(),
 		keeper: asFunction(wireKeeper).singleton(),
 		namingRecord: asFunction(wireNamingRecord).singleton(),
-		transport: asFunction(() => createUndiciTransport({connectMs: endpointConnectMs, connectionsPerPool: connectionsPerEndpoint})).singleton(),
+		transport: asFunction(() => createUndiciTransport({connectMs: connectTimeoutMs, connectionsPerPool: maxConnectionsPerEndpoint})).singleton(),
 		budgetOf: asFunction(wireBudgets).singleton(),
 		events: asFunction(wireEvents).singleton(),
 		metrics: asFunction(() => createDaemonMetrics()).singleton(),
-		lines: asFunction(() => createLineBudget({perSecond: linesPerSecond})).singleton(),
+		logLineBudget: asFunction(() => createLineBudget({perSecond: logLinesPerSecond})).singleton(),
 		forwarder: asFunction((parts: EntryParts) => createForwarder({
 			view: parts.view,
 			headers: createCallHeaders(),
@@ -86,7 +86,7 @@
 			crashWatch: parts.crashWatch,
 			limits: parts.limits,
 			choice: parts.choice,
-			book: parts.book,
+			book: parts.endpointLoads,
 			health: parts.health,
 			presence: parts.presence,
 			versions: parts.versions,
--- a/packages/entry/src/lib/explain-day.ts
+++ b/packages/entry/src/lib/explain-day.ts
@@ -1,30 +1,30 @@
 /**
- * Sums a day's requests from the logs of all daemons: what became of them, how
- * late their answers began, and how far that was from what the decision expected;
- * by route, by workspace and by the moment at which they came.
+ * Summarizes requests from the logs of all daemons: their results, the time to the first byte
+ * of their answers, and its ratio to the time that the endpoint choice expected. Grouped by
+ * route, by workspace and by interval of arrival.
  */
 import {isRequestEnd, type LogLine, parseLogLine} from './log-line.js';
 
-/** What a sum is taken over. */
+/** Statistics of a group of requests; `ratios` are actual to expected times to the first byte. */
 type Group = {name: string; requests: number; results: Map<string, number>; firstMs: number[]; ratios: number[]};
 
-/** Length of a moment, in milliseconds: long enough for some hundred requests of a usual fleet. */
-const momentMs = 2000;
+/** Interval length in milliseconds; a usual fleet handles some hundred requests in it. */
+const intervalMs = 2000;
 
-/** Moments that are listed: those with most requests that were not answered or began late. */
-const mostMoments = 12;
+/** Number of listed intervals: those with the most unanswered or late requests. */
+const maxIntervals = 12;
 
-/** A first event counts as late from this many times the route's median on; the logs don't tell target times. */
-const lateTimes = 3;
+/** An answer counts as late if its first byte takes longer than this multiple of the route's median; logs don't hold target times. */
+const lateFactor = 3;
 
 const answered = 'answered';
 
-/** Results that say nothing against the router: the caller had no key or route, sent too much, or left. */
-const callersOwn: ReadonlySet<string> = new Set(['no_key', 'no_route', 'too_large', 'caller_left']);
+/** Results that are not failures of the router: the caller had no key or route, sent too much, or disconnected. */
+const callerCausedResults: ReadonlySet<string> = new Set(['no_key', 'no_route', 'too_large', 'caller_left']);
 
-type Ended = {at: number; path: string; workspace: string; result: string; firstMs: number | undefined; expectedMs: number | undefined};
+type EndedRequest = {at: number; path: string; workspace: string; result: string; firstMs: number | undefined; expectedMs: number | undefined};
 
-function toEnded(line: LogLine): Ended | undefined {
+function toEndedRequest(line: LogLine): EndedRequest | undefined {
 	if (!isRequestEnd(line)) {
 		return undefined;
 	}
@@ -41,7 +41,7 @@
 	};
 }
 
-/** The values below which these shares lie; `undefined` where there are no values. */
+/** Returns the quantiles at `shares`; `undefined` if there are no values. */
 function quantiles(values: readonly number[], shares: readonly number[]): Array<number | undefined> {
 	const sorted = values.toSorted((a, b) => a - b);
 	return shares.map(share => sorted.at(Math.min(sorted.length - 1, Math.floor(sorted.length * share))));
@@ -49,7 +49,7 @@
 
 const medianOf = (values: readonly number[]): number | undefined => quantiles(values, [0.5])[0];
 
-function sumBy(ends: readonly Ended[], nameOf: (end: Ended) => string): Group[] {
+function groupBy(ends: readonly EndedRequest[], nameOf: (end: EndedRequest) => string): Group[] {
 	const groups = new Map<string, Group>();
 	for (const end of ends) {
 		const name = nameOf(end);
@@ -70,47 +70,47 @@
 	return [...groups.values()].toSorted((a, b) => b.requests - a.requests);
 }
 
-function describe({name, requests, results, firstMs, ratios}: Group): string {
-	const ended = [...results].toSorted(([, a], [, b]) => b - a).map(([result, count]) => `${result} ${count}`).join(', ');
+function formatGroup({name, requests, results, firstMs, ratios}: Group): string {
+	const counts = [...results].toSorted(([, a], [, b]) => b - a).map(([result, count]) => `${result} ${count}`).join(', ');
 	const times = quantiles(firstMs, [0.5, 0.9, 0.99]).map(ms => Math.round(ms ?? Number.NaN)).join(', ');
 	const ratio = medianOf(ratios);
 	return [
-		`${name}: ${requests} requests; ${ended}`,
-		...(firstMs.length > 0 ? [`first of the answer after ${times} ms (median, 90, 99 in 100)`] : []),
-		...(ratio === undefined ? [] : [`${ratio.toFixed(2)} times what was expected (median)`]),
+		`${name}: ${requests} requests; ${counts}`,
+		...(firstMs.length > 0 ? [`first byte after ${times} ms (p50, p90, p99)`] : []),
+		...(ratio === undefined ? [] : [`${ratio.toFixed(2)} times the expected time (median)`]),
 	].join('; ');
 }
 
-/** The moments at which most went wrong, in the order of time. */
-function worstMoments(ends: readonly Ended[], begin: number, routes: readonly Group[]): string[] {
-	const usualMs = new Map(routes.map(({name, firstMs}) => [name, medianOf(firstMs) ?? Number.POSITIVE_INFINITY]));
-	const moments = new Map<number, {requests: number; late: number; lost: number}>();
+/** Returns the intervals with the most late or unanswered requests, in order of time. */
+function worstIntervals(ends: readonly EndedRequest[], begin: number, routes: readonly Group[]): string[] {
+	const medianFirstMs = new Map(routes.map(({name, firstMs}) => [name, medianOf(firstMs) ?? Number.POSITIVE_INFINITY]));
+	const intervals = new Map<number, {requests: number; late: number; unanswered: number}>();
 	for (const {at, path, result, firstMs} of ends) {
-		const moment = Math.floor((at - begin) / momentMs);
-		const sum = moments.get(moment) ?? {requests: 0, late: 0, lost: 0};
-		moments.set(moment, sum);
+		const interval = Math.floor((at - begin) / intervalMs);
+		const sum = intervals.get(interval) ?? {requests: 0, late: 0, unanswered: 0};
+		intervals.set(interval, sum);
 		sum.requests++;
-		sum.lost += result === answered || callersOwn.has(result) ? 0 : 1;
-		sum.late += result === answered && (firstMs ?? 0) > usualMs.get(path)! * lateTimes ? 1 : 0;
+		sum.unanswered += result === answered || callerCausedResults.has(result) ? 0 : 1;
+		sum.late += result === answered && (firstMs ?? 0) > medianFirstMs.get(path)! * lateFactor ? 1 : 0;
 	}
 
-	return [...moments]
-		.toSorted(([, a], [, b]) => (b.late + b.lost) - (a.late + a.lost))
-		.slice(0, mostMoments)
+	return [...intervals]
+		.toSorted(([, a], [, b]) => (b.late + b.unanswered) - (a.late + a.unanswered))
+		.slice(0, maxIntervals)
 		.toSorted(([a], [b]) => a - b)
-		.map(([moment, {requests, late, lost}]) => `${moment * momentMs} ms: ${requests} requests; ${late} late; ${lost} not answered`);
+		.map(([interval, {requests, late, unanswered}]) => `${interval * intervalMs} ms: ${requests} requests; ${late} late; ${unanswered} not answered`);
 }
 
 /**
- * A day in lines of text.
+ * Returns the summary as lines of text; empty if no request ended.
  *
  * @param lines Log lines of any number of daemons, in any order.
  */
 export function explainDay(lines: Iterable<string>): string[] {
-	const ends: Ended[] = [];
+	const ends: EndedRequest[] = [];
 	for (const text of lines) {
 		const line = parseLogLine(text);
-		const end = line && toEnded(line);
+		const end = line && toEndedRequest(line);
 		if (end !== undefined) {
 			ends.push(end);
 		}
@@ -121,13 +121,13 @@
 	}
 
 	const [{at: begin}] = ends.toSorted((a, b) => a.at - b.at);
-	const routes = sumBy(ends, end => end.path);
+	const routes = groupBy(ends, end => end.path);
 	return [
 		'By route',
-		...routes.map(group => `  ${describe(group)}`),
+		...routes.map(group => `  ${formatGroup(group)}`),
 		'By workspace',
-		...sumBy(ends, end => end.workspace).map(group => `  ${describe(group)}`),
-		`The moments at which most went wrong, from ${new Date(begin).toISOString()}`,
-		...worstMoments(ends, begin, routes).map(text => `  ${text}`),
+		...groupBy(ends, end => end.workspace).map(group => `  ${formatGroup(group)}`),
+		`Intervals with the most late or unanswered requests, from ${new Date(begin).toISOString()}`,
+		...worstIntervals(ends, begin, routes).map(text => `  ${text}`),
 	];
 }
--- a/packages/entry/src/lib/explain.ts
+++ b/packages/entry/src/lib/explain.ts
@@ -1,24 +1,24 @@
-/** Tells the story of one request from the log lines of all daemons. */
+/** Collects what the logs of all daemons hold about one request. */
 
 import {isRequestEnd, type LogLine, parseLogLine} from './log-line.js';
 
-const fieldsInHead = new Set(['vm', 'requestId', 'logLevel', 'dataCentre']);
+const omittedFields = new Set(['vm', 'requestId', 'logLevel', 'dataCentre']);
 
-function describe({message, context}: LogLine): string {
+function formatLine({message, context}: LogLine): string {
 	const fields = Object.entries(context)
-		.filter(([name]) => !fieldsInHead.has(name))
+		.filter(([name]) => !omittedFields.has(name))
 		.map(([name, value]) => `${name}=${String(value)}`);
 	const {vm = '?'} = context;
 	return `${String(vm)} ${message} ${fields.join(' ')}`.trim();
 }
 
-/** How long before a request the beliefs about its endpoint and service are looked up, in milliseconds. */
-const beliefsMs = 5000;
+/** Time before a request from which lines about its endpoints are included, in milliseconds. */
+const lookbackMs = 5000;
 
 /**
- * Lines about a request in the order of time, with what was learnt shortly
- * before about the endpoints that it met, and what was decided before about
- * requests of the same content.
+ * Returns the lines about a request in order of time, together with lines from shortly before
+ * about the endpoints that it was sent to, and earlier lines about requests with the same
+ * content. Empty if no line is about the request.
  *
  * @param lines Log lines of any number of daemons, in any order.
  */
@@ -32,18 +32,18 @@
 	}
 
 	all.sort((a, b) => a.time - b.time);
-	const own = all.filter(line => line.context.requestId === requestId);
-	if (own.length === 0) {
+	const requestLines = all.filter(line => line.context.requestId === requestId);
+	if (requestLines.length === 0) {
 		return [];
 	}
 
-	const endpoints = new Set(own.map(line => line.context.endpoint).filter(Boolean));
-	const end = own.at(-1)!.time;
-	const begin = Math.min(...own.map(line => line.time - Number(line.context.ms ?? 0)));
-	const digests = new Set(own.map(line => line.context.digest).filter(Boolean));
-	const isOfContent = (line: LogLine): boolean => digests.has(line.context.digest) && !isRequestEnd(line);
-	const story = all.filter(line => line.context.requestId === requestId
-		|| (isOfContent(line) && line.time <= end)
-		|| (line.context.requestId === undefined && endpoints.has(line.context.endpoint) && line.time >= begin - beliefsMs && line.time <= end));
-	return story.map(line => `${line.time - begin} ms  ${describe(line)}`);
+	const endpoints = new Set(requestLines.map(line => line.context.endpoint).filter(Boolean));
+	const end = requestLines.at(-1)!.time;
+	const begin = Math.min(...requestLines.map(line => line.time - Number(line.context.ms ?? 0)));
+	const digests = new Set(requestLines.map(line => line.context.digest).filter(Boolean));
+	const hasSameContent = (line: LogLine): boolean => digests.has(line.context.digest) && !isRequestEnd(line);
+	const relatedLines = all.filter(line => line.context.requestId === requestId
+		|| (hasSameContent(line) && line.time <= end)
+		|| (line.context.requestId === undefined && endpoints.has(line.context.endpoint) && line.time >= begin - lookbackMs && line.time <= end));
+	return relatedLines.map(line => `${line.time - begin} ms  ${formatLine(line)}`);
 }
--- a/packages/entry/src/lib/log-line.ts
+++ b/packages/entry/src/lib/log-line.ts
@@ -1,6 +1,6 @@
-/** Log lines of daemons, as the tools that explain them read them. */
+/** Parses log lines of daemons. */
 
-/** One line, as far as an explanation needs it. */
+/** The parsed fields of a log line. */
 export type LogLine = {
 	/** Unix milliseconds. */
 	time: number;
@@ -8,10 +8,10 @@
 	context: Record<string, string | number | boolean | undefined>;
 };
 
-/** Whether a line tells how a request ended. */
+/** Whether a line reports the end of a request. */
 export const isRequestEnd = ({message}: LogLine): boolean => message.endsWith('Request ended.');
 
-/** Reads a line, which may stand behind a prefix of whoever collected it; `undefined` for lines of other programs. */
+/** Parses a line, skipping the prefix of a log collector; returns `undefined` for lines of other programs. */
 export function parseLogLine(text: string): LogLine | undefined {
 	const start = text.indexOf('{');
 	if (start === -1) {
@@ -22,7 +22,7 @@
 		const line = JSON.parse(text.slice(start)) as Partial<LogLine>;
 		return typeof line.time === 'number' && typeof line.message === 'string' && typeof line.context === 'object' ? line as LogLine : undefined;
 	} catch {
-		// Other programs write to the same place; their lines tell nothing of a request.
+		// Other programs write to the same log; their lines are skipped.
 		return undefined;
 	}
 }
--- a/packages/entry/src/lib/wiring/feed-wiring.ts
+++ b/packages/entry/src/lib/wiring/feed-wiring.ts
@@ -6,7 +6,7 @@
 import {createFeedReaders} from 'hickorywalk/peers.js';
 import {type EntryParts} from './parts.js';
 
-/** Lets the elected readers of a table ask the store, and the others rely on their relays. */
+/** Lets only the elected readers of a table poll the store; the other daemons rely on their relays. */
 function sharingOf(table: string, {settings, timings, peers}: EntryParts): FeedSharing {
 	const readers = createFeedReaders({
 		name: settings.name, table, peers: peers.group, silenceMs: timings.feedTrustMs,
@@ -16,7 +16,7 @@
 		isFirstChoice: readers.isFirstChoice,
 		relayed: readers.relayed,
 		trustMs: timings.feedTrustMs,
-		relayMs: timings.relayMs,
+		relayMs: timings.relayDelayMs,
 		relay(relay) {
 			peers.relay(table, relay);
 		},
@@ -42,7 +42,7 @@
 		source: createOperatorSource(store, log),
 		handler: {update, replace: update},
 		waitMs: () => timings.feedWaitMs,
-		answerMs: timings.storeAnswerMs,
+		answerMs: timings.storeTimeoutMs,
 		restMs: 0,
 		sharing: sharingOf('operator', parts),
 		log,
@@ -52,9 +52,9 @@
 /** Follows the endpoint list and drops local state of removed endpoints. */
 export function wireEndpointFeed(parts: EntryParts): ChangeFeed {
 	const {
-		store, view, timings, health, book, presence, versions, limits, resident, log,
+		store, view, timings, health, endpointLoads, presence, versions, limits, residentParts, log,
 	} = parts;
-	const tracker = createEndpointTracker({view, graceMs: timings.lapsedGraceMs, outageEchoMs: timings.outageEchoMs});
+	const tracker = createEndpointTracker({view, graceMs: timings.expiredGraceMs, outageEchoMs: timings.outageRecoveryMs});
 	const updateHealth = (service: string | undefined): void => {
 		if (service !== undefined && view.current()?.document.services.has(service)) {
 			health.setEndpoints(service, view.endpointsOf(service).map(item => item.id));
@@ -68,18 +68,18 @@
 	});
 	view.onEndpoint((id, endpoint, before) => {
 		if (endpoint === undefined) {
-			book.forget(id);
+			endpointLoads.forget(id);
 			presence.forget(id);
 			versions.forget(id);
 			limits.forget(id);
 		}
 
-		// A restarted process under the same id has an empty cache.
+		// A process that restarted under the same id has an empty cache.
 		if (before?.startedAt !== endpoint?.startedAt) {
-			resident.forget(id);
+			residentParts.forget(id);
 		}
 
-		// Most changes are heartbeats, which leave the membership of services as it is.
+		// Most changes are heartbeats, which do not change the membership of services.
 		if (before?.service !== endpoint?.service) {
 			updateHealth(before?.service);
 			updateHealth(endpoint?.service);
@@ -90,8 +90,8 @@
 		source: createEndpointSource(store, log),
 		handler: tracker,
 		waitMs: () => timings.feedWaitMs,
-		answerMs: timings.storeAnswerMs,
-		restMs: timings.endpointsRestMs,
+		answerMs: timings.storeTimeoutMs,
+		restMs: timings.endpointsCoalesceMs,
 		sharing: sharingOf('endpoints', parts),
 		log,
 	});
--- a/packages/entry/src/lib/wiring/duty-wiring.ts
+++ b/packages/entry/src/lib/wiring/lease-wiring.ts
@@ -1,18 +1,18 @@
-/** Wires the lease on ordering weight changes, and the keeper that runs under it. */
+/** Wires the lease for ordering weights changes, and the weights keeper that acts while holding it. */
 import {createLeaseHolder, type LeaseHolder} from 'hickorywalk/leases.js';
 import {createNamingRecord, createWeightsKeeper, type NamingRecord} from 'hickorywalk/weights.js';
 import {type EntryParts} from './parts.js';
 
-/** Name of the lease on ordering weight changes. */
-export const weightsDuty = 'weights';
+/** Name of the lease for ordering weights changes. */
+export const weightsLease = 'weights';
 
-/** Stores the namings of weights beside the lease. */
+/** Creates the record of named weights, which is stored with the lease. */
 export const wireNamingRecord = ({view, store, operatorFeed, log}: EntryParts): NamingRecord =>
 	createNamingRecord({
 		view, storeMs: store.clockMs, unseenMs: operatorFeed.ageMs, log,
 	});
 
-/** Contends for the lease; peers' reports shorten the takeover. */
+/** Contends for the lease; peers' reports shorten a takeover. */
 export function wireLeases({settings, timings, incarnation, ownTable, peers, namingRecord, log}: EntryParts): LeaseHolder {
 	const holder = createLeaseHolder({
 		name: settings.name,
@@ -21,9 +21,9 @@
 		candidates: () => [settings.name, ...peers.live().map(({report}) => report.daemon)],
 		isHeldElsewhere: () => peers.live().some(({report, heardAt}) => report.duty !== null && report.duty[1] > performance.now() - heardAt),
 		lastWord(name, incarnation) {
-			const heard = peers.known().get(name);
-			return heard?.report.duty && BigInt(heard.report.incarnation) === incarnation
-				? {attempt: heard.report.duty[0], heardAt: heard.heardAt, msLeft: heard.report.duty[1]}
+			const peer = peers.known().get(name);
+			return peer?.report.duty && BigInt(peer.report.incarnation) === incarnation
+				? {attempt: peer.report.duty[0], heardAt: peer.heardAt, msLeft: peer.report.duty[1]}
 				: undefined;
 		},
 		onAttempt() {
@@ -39,21 +39,21 @@
 			log.warn('Leases could not be read or written.', {err});
 		},
 	});
-	holder.contend(weightsDuty);
+	holder.contend(weightsLease);
 	return holder;
 }
 
 /** Creates the weights keeper; it acts only while the lease is held. */
 export function wireKeeper(parts: EntryParts) {
 	const {
-		settings, timings, view, versions, control, leases, book, presence, limits, log,
+		settings, timings, view, versions, control, leases, endpointLoads, presence, limits, log,
 	} = parts;
 	return createWeightsKeeper({
 		name: settings.name,
 		view,
 		versions,
 		control,
-		held: () => leases.held(weightsDuty),
+		held: () => leases.held(weightsLease),
 		handoverMs: timings.handoverMs,
 		presence,
 		announce: parts.peers.sendNow,
@@ -61,7 +61,7 @@
 		weightsMs: settings.weightsMs,
 		lastsMs(id) {
 			const endpoint = view.endpoint(id);
-			return endpoint === undefined ? 0 : book.load(endpoint).lastsMs;
+			return endpoint === undefined ? 0 : endpointLoads.load(endpoint).lastsMs;
 		},
 		limitedMs: endpoint => limits.waitMs([endpoint]),
 		log,
--- a/packages/entry/src/lib/wiring/parts.ts
+++ b/packages/entry/src/lib/wiring/parts.ts
@@ -33,10 +33,10 @@
 	log: Log;
 	view: FleetView;
 	versions: EngineVersions;
-	book: EndpointBook;
+	endpointLoads: EndpointBook;
 	presence: EndpointPresence;
-	kept: KeptParts;
-	resident: ResidentParts;
+	storedParts: KeptParts;
+	residentParts: ResidentParts;
 	health: ReturnType<typeof createHealthTracker>;
 	quota: FleetQuota;
 	quarantine: Quarantine;
@@ -58,7 +58,7 @@
 	budgetOf: (service: string) => AttemptBudget;
 	events: ForwardingEvents;
 	metrics: DaemonMetrics;
-	lines: LineBudget;
+	logLineBudget: LineBudget;
 	forwarder: ReturnType<typeof createForwarder>;
 	server: ReturnType<typeof createEntryServer>;
 };
--- a/packages/entry/src/lib/wiring/peer-wiring.ts
+++ b/packages/entry/src/lib/wiring/peer-wiring.ts
@@ -3,13 +3,13 @@
 import {
 	createPeerDirectory, createPeerExchange, type OpenDatagramTransport, type PeerExchange, type PeerReport,
 } from 'hickorywalk/peers.js';
-import {weightsDuty} from './duty-wiring.js';
+import {weightsLease} from './lease-wiring.js';
 import {type EntryParts} from './parts.js';
 
 /** Creates the exchange and applies peers' reports to the local state. */
 export function wirePeers(parts: EntryParts, openTransport?: OpenDatagramTransport): PeerExchange {
-	const {settings, timings, incarnation, log, quota, book, versions} = parts;
-	/** Followed tables by their names in reports; looked up late, since the feeds need the exchange. */
+	const {settings, timings, incarnation, log, quota, endpointLoads, versions} = parts;
+	/** Feeds by table name in reports; resolved lazily, since the feeds depend on the exchange. */
 	const feeds: Record<string, () => ChangeFeed> = {
 		operator: () => parts.operatorFeed,
 		endpoints: () => parts.endpointFeed,
@@ -18,14 +18,14 @@
 	const onReport = (report: PeerReport): void => {
 		if (report.isLeaving) {
 			quota.left(report.daemon);
-			book.leftPeer(report.daemon);
+			endpointLoads.leftPeer(report.daemon);
 			return;
 		}
 
 		quota.heard(report);
-		book.heard(report);
-		parts.kept.heard(report.kept);
-		parts.resident.heard(report.placed);
+		endpointLoads.heard(report);
+		parts.storedParts.heard(report.kept);
+		parts.residentParts.heard(report.placed);
 		parts.quarantine.heard(report.daemon, report);
 		parts.limits.heard(report.limits);
 		for (const [id, startedAt] of report.ended) {
@@ -75,13 +75,13 @@
 		compose: () => ({
 			heard: {operator: parts.operatorFeed.newestChange(), endpoints: parts.endpointFeed.newestChange()},
 			usage: quota.report(),
-			loads: book.report(),
+			loads: endpointLoads.report(),
 			named: parts.view.recentWeights(settings.weightsMs * 2),
-			duty: dutyForReport(parts),
+			duty: leaseForReport(parts),
 			engines: enginesForReport(parts),
 			ended: parts.presence.endedLately(exchange.silenceMs()),
-			kept: parts.kept.takeNews(),
-			placed: parts.resident.takeNews(),
+			kept: parts.storedParts.takeNews(),
+			placed: parts.residentParts.takeNews(),
 			...parts.quarantine.report(),
 			limits: parts.limits.report(),
 		}),
@@ -93,9 +93,9 @@
 }
 
 /** Tells peers how long the lease may still be held, so that a successor waits no longer than needed. */
-function dutyForReport({leases}: EntryParts): PeerReport['duty'] {
-	const word = leases.word(weightsDuty);
-	return word === undefined ? null : [word.attempt, Math.ceil(word.msLeft)];
+function leaseForReport({leases}: EntryParts): PeerReport['duty'] {
+	const announcement = leases.word(weightsLease);
+	return announcement === undefined ? null : [announcement.attempt, Math.ceil(announcement.msLeft)];
 }
 
 /** Rounds a finite number; -1 otherwise, since JSON has no infinity. */
@@ -109,17 +109,17 @@
 	return model === undefined ? 0 : view.namedWeights(model)?.version ?? 0;
 }
 
-/** Keeps a report within one datagram; plans are left out first. */
+/** Keeps a report within one datagram; planned changes are omitted first. */
 const maxReportedEngines = 512;
 
 type EngineReport = PeerReport['engines'][number];
 
 /**
- * What the lease holder knows beyond the endpoint list. A former holder goes on to report its
- * latest orders until the handover time is over.
+ * Weights versions and changes that the lease holder knows beyond the endpoint list. A former
+ * holder continues to report its latest orders until the handover time is over.
  */
 function enginesForReport({leases, versions, view, keeper, timings}: EntryParts): EngineReport[] {
-	const isHolder = leases.held(weightsDuty) !== undefined;
+	const isHolder = leases.held(weightsLease) !== undefined;
 	const changing = versions.allChanging();
 	const current: EngineReport[] = [];
 	const planned: EngineReport[] = [];
@@ -133,9 +133,9 @@
 		const sinceOrderMs = keeper.sinceOrderMs(id);
 		const {version, dueInMs} = versions.of(endpoint, model);
 		const isOrdered = sinceOrderMs <= timings.handoverMs;
-		const isNews = changing.has(id) || version !== endpoint.weights.get(model);
+		const differsFromList = changing.has(id) || version !== endpoint.weights.get(model);
 		const report: EngineReport = [id, version, changing.get(id) ?? 0, roundedOrMinusOne(sinceOrderMs), roundedOrMinusOne(isHolder ? dueInMs : Number.POSITIVE_INFINITY)];
-		if (isOrdered || (isHolder && isNews)) {
+		if (isOrdered || (isHolder && differsFromList)) {
 			current.push(report);
 		} else if (isHolder && Number.isFinite(dueInMs)) {
 			planned.push(report);
--- a/packages/entry/src/lib/wiring/quarantine-wiring.ts
+++ b/packages/entry/src/lib/wiring/quarantine-wiring.ts
@@ -4,7 +4,8 @@
 } from 'hickorywalk/quarantine.js';
 import {type EntryParts} from './parts.js';
 
-const checkMs = 300;
+/** Timeout of the connection attempt that tells whether an endpoint has crashed. */
+const connectionCheckTimeoutMs = 300;
 
 /** Creates the quarantine. */
 export const wireQuarantine = (parts: EntryParts): Quarantine => createQuarantine({
@@ -35,9 +36,9 @@
 	log: parts.log,
 });
 
-/** Creates the watch for crashes. */
+/** Creates the crash watch. */
 export const wireCrashWatch = ({quarantine, presence, view}: EntryParts): CrashWatch => createCrashWatch({
-	refusesConnections: async address => refusesConnections(address, checkMs),
+	refusesConnections: async address => refusesConnections(address, connectionCheckTimeoutMs),
 	stateOf(endpoint) {
 		const listed = view.endpoint(endpoint.id);
 		if (listed?.startedAt !== endpoint.startedAt || presence.hasEnded(endpoint)) {
--- a/packages/entry/src/lib/wiring/request-wiring.ts
+++ b/packages/entry/src/lib/wiring/request-wiring.ts
@@ -5,11 +5,11 @@
 import {type AttemptBudget, createRetryBudget} from 'hickorywalk/routing.js';
 import {type EntryParts} from './parts.js';
 
-/** Safety margin below the platform's retry budget. */
+/** Fraction of the platform's retry budget that is used; the rest is a safety margin. */
 const retryBudgetRatio = 0.7;
 
-/** Fraction of the tolerated excess over a quota that a restarted fleet starts with. */
-const startExtraRatio = 0.5;
+/** Fraction of the tolerated excess over a quota with which a restarted fleet starts. */
+const initialExcessRatio = 0.5;
 
 /**
  * Fraction of an endpoint's connection limit that all daemons share; leaves headroom while
@@ -26,7 +26,7 @@
 /** Creates the fleet-wide quota. */
 export function wireQuota(parts: EntryParts): FleetQuota {
 	const {settings, timings} = parts;
-	// Shorter than for other readers: a peer that is cut off goes on spending.
+	// Shorter than for other uses of the reports, since a disconnected peer keeps spending quota.
 	const silenceMs = (): number => Math.max(timings.minPeerSilenceMs, parts.peers.refreshMs() * refreshesUntilSilent);
 	return createFleetQuota({
 		startsFull: settings.isFirstStart,
@@ -38,7 +38,7 @@
 		onShared(users) {
 			parts.peers.tellSoon(users);
 		},
-		startUnits: settings.quota.extraUnits * startExtraRatio,
+		startUnits: settings.quota.extraUnits * initialExcessRatio,
 		daemons: () => countDaemons(parts),
 		silenceMs,
 		goneMs: () => silenceMs() + timings.minPeerGoneMs - timings.minPeerSilenceMs,
@@ -58,15 +58,15 @@
 
 /** Creates the endpoint choice. */
 export function wireChoice(parts: EntryParts) {
-	const {view, book, health, presence, versions, limits, kept, resident, peers, settings} = parts;
+	const {view, endpointLoads: book, health, presence, versions, limits, storedParts: kept, residentParts: resident, peers, settings} = parts;
 	return createEndpointChoice({
 		view, book, health, presence, versions, limits, kept, resident, dataCentre: settings.dataCentre, connectionShare: () => connectionsRatio / peers.fleetSize(), weightsMs: settings.weightsMs,
-		// Peers within one round hear of large prompts at once, so only the others may choose alike.
+		// Peers within one report round learn of large prompts at once, so only the others may choose the same endpoint.
 		daemons: () => 1 + peers.peersBeyondRound(), random: Math.random,
 	});
 }
 
-/** Returns a look-up of retry budgets, one for each service. */
+/** Returns a function that looks up the retry budget of a service. */
 export function wireBudgets(parts: EntryParts): (service: string) => AttemptBudget {
 	const budgets = new Map<string, AttemptBudget>();
 	const {isFirstStart, retries: {share, extra, windowMs}} = parts.settings;
@@ -76,7 +76,7 @@
 	 * This daemon's part of the fixed allowance. A restarted process doesn't know what its
 	 * predecessor spent, so its part grows from zero over one window.
 	 */
-	const ownExtra = (): number => {
+	const ownAllowance = (): number => {
 		const knownShare = isFirstStart ? 1 : Math.min(1, (performance.now() - openedAt) / windowMs);
 		return Math.floor(extra * retryBudgetRatio * knownShare / countDaemons(parts));
 	};
@@ -85,7 +85,7 @@
 		let budget = budgets.get(service);
 		if (budget === undefined) {
 			budget = createRetryBudget({
-				share: share * retryBudgetRatio, fewest: ownExtra, isFewestExtra: true, windowMs,
+				share: share * retryBudgetRatio, fewest: ownAllowance, isFewestExtra: true, windowMs,
 			});
 			budgets.set(service, budget);
 		}
@@ -95,11 +95,11 @@
 }
 
 /** Logs requests and records their metrics. */
-export function wireEvents({log, metrics, lines}: EntryParts): ForwardingEvents {
+export function wireEvents({log, metrics, logLineBudget}: EntryParts): ForwardingEvents {
 	return {
 		ended(end) {
-			metrics.ended(end);
-			if (!lines.take(end.reason)) {
+			metrics.requestEnded(end);
+			if (!logLineBudget.take(end.reason)) {
 				return;
 			}
 
@@ -117,7 +117,7 @@
 			requestId, digest, endpoint, service, reason, ms, firstMs, next,
 		}) {
 			metrics.attemptFailed(service, reason);
-			if (!lines.take(`attempt ${reason}`)) {
+			if (!logLineBudget.take(`attempt ${reason}`)) {
 				return;
 			}
 
@@ -128,7 +128,7 @@
 	};
 }
 
-/** JSON has no infinity. */
+/** Returns 'unknown' for infinity, which JSON can't represent. */
 function ageForLog(ms: number | undefined): number | string | undefined {
 	return ms === Number.POSITIVE_INFINITY ? 'unknown' : rounded(ms);
 }
--- a/packages/entry/src/test/daemon-settings.ts
+++ b/packages/entry/src/test/daemon-settings.ts
@@ -2,7 +2,7 @@
 
 export const host = '127.0.0.1';
 
-/** Settings of a daemon that binds its peer port to `port`, any other to a free one. */
+/** Settings of a daemon that uses `port` for its peers, and free ports for the rest. */
 export const settingsWith = (port: number) => parseBootSettings(JSON.stringify({
 	node: 'vm-1',
 	role: 'entry',
--- a/packages/entry/src/test/explain.test.ts
+++ b/packages/entry/src/test/explain.test.ts
@@ -4,7 +4,7 @@
 const line = (time: number, message: string, context: Record<string, unknown>) => `12.3 vm ${JSON.stringify({time, message, context})}`;
 
 describe('explainRequest', () => {
-	it('tells a request in order over all daemons, with what was learnt of its endpoint', () => {
+	it('lists the lines about a request in order of time, with earlier lines about its endpoint', () => {
 		const lines = [
 			line(1100, '[entry] Request ended.', {
 				vm: 'vm-1', requestId: 'r1', endpoint: 'e1', status: 502, result: 'endpoint_failed', ms: 100,
@@ -17,16 +17,16 @@
 			line(1050, '[entry] Request ended.', {
 				vm: 'vm-2', requestId: 'r2', endpoint: 'e1', status: 200,
 			}),
-			'no line of ours',
+			'a line of another program',
 		];
-		const story = explainRequest(lines, 'r1');
-		assert.lengthOf(story, 3);
-		assert.match(story[0], /^-500 ms {2}vm-1 \[entry\] Endpoint is leaving/v);
-		assert.match(story[1], /reason=reset/v);
-		assert.match(story[2], /result=endpoint_failed/v);
+		const relatedLines = explainRequest(lines, 'r1');
+		assert.lengthOf(relatedLines, 3);
+		assert.match(relatedLines[0], /^-500 ms {2}vm-1 \[entry\] Endpoint is leaving/v);
+		assert.match(relatedLines[1], /reason=reset/v);
+		assert.match(relatedLines[2], /result=endpoint_failed/v);
 	});
 
-	it('tells of a refused request which crashes decided it, seen by whom, and how old', () => {
+	it('lists the crashes for which a request was refused, with the daemon that saw them and their age', () => {
 		const lines = [
 			line(100, '[entry] Endpoint failed a request.', {
 				vm: 'vm-2', requestId: 'r0', digest: 'd1', endpoint: 'e1', reason: 'reset', ms: 80,
@@ -42,14 +42,14 @@
 			}),
 			line(90_500, '[entry] Refused request is sent once.', {vm: 'vm-1', digest: 'd1'}),
 		];
-		const story = explainRequest(lines, 'r1');
-		assert.lengthOf(story, 3);
-		assert.match(story[0], /vm-2 .*endpoint=e1 reason=reset/v);
-		assert.match(story[1], /vm-3 .*peer=vm-2 ms=400/v);
-		assert.match(story[2], /result=crashes_endpoints/v);
+		const relatedLines = explainRequest(lines, 'r1');
+		assert.lengthOf(relatedLines, 3);
+		assert.match(relatedLines[0], /vm-2 .*endpoint=e1 reason=reset/v);
+		assert.match(relatedLines[1], /vm-3 .*peer=vm-2 ms=400/v);
+		assert.match(relatedLines[2], /result=crashes_endpoints/v);
 	});
 
-	it('tells nothing of a request that no line knows', () => {
+	it('is empty if no line is about the request', () => {
 		assert.deepEqual(explainRequest([], 'r1'), []);
 	});
 });
--- a/packages/entry/src/test/feed-wiring.test.ts
+++ b/packages/entry/src/test/feed-wiring.test.ts
@@ -32,7 +32,7 @@
 
 	beforeEach(() => {
 		parts = createEntryParts(settingsWith(1)).cradle;
-		// Wires the listeners; the store is out of reach.
+		// Creates the feed, which registers the listeners; the store is unreachable.
 		parts.endpointFeed.ageMs();
 	});
 
@@ -40,7 +40,7 @@
 		parts.endpointFeed.close();
 	});
 
-	it('counts failures whether the endpoint or the document with its service comes first', () => {
+	it('counts failures whether the endpoint or the document with its service arrives first', () => {
 		parts.view.acceptEndpoint(endpoint('e1'));
 		parts.view.acceptEndpoint(endpoint('e2'));
 		parts.view.acceptDocument(document(1, ['desk']));
@@ -48,10 +48,10 @@
 		fail('e1');
 		assert.deepEqual(parts.health.ejectedOf('desk'), ['e1']);
 		fail('e3');
-		assert.deepEqual(parts.health.ejectedOf('desk'), ['e1'], 'one of three at most');
+		assert.deepEqual(parts.health.ejectedOf('desk'), ['e1'], 'at most one of three endpoints is ejected');
 	});
 
-	it('keeps an ejection over heartbeats, and forgets it with the endpoint', () => {
+	it('keeps an ejection across heartbeats, and drops it when the endpoint is removed', () => {
 		parts.view.acceptDocument(document(1, ['desk']));
 		parts.view.acceptEndpoint(endpoint('e1'));
 		parts.view.acceptEndpoint(endpoint('e2'));
@@ -63,7 +63,7 @@
 		assert.equal(parts.health.healthOf('e1'), 'healthy');
 	});
 
-	it('follows an endpoint that returns under another service', () => {
+	it('moves an endpoint that restarts under another service', () => {
 		parts.view.acceptDocument(document(1, ['mail', 'desk']));
 		parts.view.acceptEndpoint(endpoint('e1'));
 		parts.view.acceptEndpoint(endpoint('e2', {service: 'mail'}));
--- a/packages/entry/src/test/metrics.test.ts
+++ b/packages/entry/src/test/metrics.test.ts
@@ -3,10 +3,10 @@
 import {createDaemonMetrics, metricHelp} from '../lib/daemon-metrics.js';
 
 describe('createDaemonMetrics', () => {
-	it('serves every metric that its page lists, and no other of its own', async () => {
+	it('serves every metric with its help text, as docs/metrics.md lists it', async () => {
 		const metrics = createDaemonMetrics();
-		metrics.watch({underWay: () => 3, peersHeard: () => 8});
-		metrics.ended({
+		metrics.registerGauges({requestsInFlight: () => 3, livePeers: () => 8});
+		metrics.requestEnded({
 			requestId: 'r', digest: 'd', route: 'a', workspace: 'school', service: 'desk', endpoint: 'e', status: 200, attempts: 1, ms: 40, firstMs: 30, expectedMs: 20,
 			weights: undefined, weightsAgeMs: undefined, reason: 'answered',
 		});
--- a/packages/entry/src/test/peer-wiring.test.ts
+++ b/packages/entry/src/test/peer-wiring.test.ts
@@ -7,7 +7,7 @@
 import {createSilentLog} from 'hickorywalk/observability.js';
 import {decodeReport, type PeerExchange, type PeerReport} from 'hickorywalk/peers.js';
 import {createEntryParts} from '../lib/entry-parts.js';
-import {wireLeases} from '../lib/wiring/duty-wiring.js';
+import {wireLeases} from '../lib/wiring/lease-wiring.js';
 import {type EntryParts} from '../lib/wiring/parts.js';
 import {wirePeers} from '../lib/wiring/peer-wiring.js';
 import {host, settingsWith} from './daemon-settings.js';
@@ -27,7 +27,7 @@
 	id, service: 'engines', address: '10.0.0.1:80', dataCentre: 'a', slots: 8, isLeaving: false, startedAt, reportNumber: 1, weights: new Map([['m', 1]]),
 });
 
-describe('what a peer reports', () => {
+describe('a report from a peer', () => {
 	let parts: EntryParts;
 
 	afterEach(async () => {
@@ -36,10 +36,10 @@
 		await parts.peers.leave();
 	});
 
-	it('ends the process that the peer found ended, and no other, and tells of parts that are kept', async () => {
-		// One daemon is refused in another process's name. The others must not each
-		// send a request there to learn it; but a later process under the same id
-		// serves, and what was said of the former one doesn't count for it.
+	it('marks only the processes that the peer found ended as ended, and adds stored prompt parts', async () => {
+		// One daemon learns from an endpoint's refusal that another process has replaced it.
+		// The others must learn it without each sending a request there. A later process
+		// under the same id is serving, and a report about the former one must not end it.
 		const port = await freePort();
 		parts = createEntryParts(settingsWith(port)).cradle;
 		parts.view.acceptEndpoint(endpoint('e1', 100));
@@ -60,25 +60,25 @@
 		assert.isTrue(parts.presence.hasEnded(endpoint('e1', 100)));
 		assert.isFalse(parts.presence.hasEnded(endpoint('e1', 101)));
 		assert.isFalse(parts.presence.hasEnded(endpoint('e2', 200)));
-		assert.isTrue(parts.kept.isKnown(':1 top'));
+		assert.isTrue(parts.storedParts.isKnown(':1 top'));
 		assert.deepEqual(parts.presence.endedLately(1000), [['e1', 100]]);
-		const {running, pendingTokens} = parts.book.load(endpoint('e2', 200));
+		const {running, pendingTokens} = parts.endpointLoads.load(endpoint('e2', 200));
 		assert.deepEqual([running, pendingTokens], [3, 4000]);
 	});
 });
 
-describe('what is reported to 66 peers', () => {
+describe('a report to 66 peers', () => {
 	const peerNames = Array.from({length: 66}, (_item, index) => `vm-${index + 2}`);
 	let clock: FakeTimers.Clock;
 	let parts: EntryParts;
 	let peers: PeerExchange;
-	/** Endpoints that each peer was told to have ended. */
-	let toldOf: Map<string, Set<string>>;
+	/** Ids of ended endpoints that each peer received. */
+	let receivedIds: Map<string, Set<string>>;
 
 	beforeEach(async () => {
 		clock = FakeTimers.install({toFake: ['performance', 'setTimeout', 'clearTimeout']});
 		parts = createEntryParts(settingsWith(1)).cradle;
-		toldOf = new Map(peerNames.map(name => [`${name}:1`, new Set()]));
+		receivedIds = new Map(peerNames.map(name => [`${name}:1`, new Set()]));
 		let datagrams = 0;
 		peers = wirePeers(parts, async () => ({
 			async send(content, address) {
@@ -88,11 +88,11 @@
 				}
 
 				for (const [id] of decodeReport(content).ended) {
-					toldOf.get(address)!.add(id);
+					receivedIds.get(address)!.add(id);
 				}
 			},
 			async close() {
-				// Nothing is open.
+				// There is nothing to close.
 			},
 		}));
 		for (const name of peerNames) {
@@ -107,14 +107,14 @@
 		clock.uninstall();
 	});
 
-	it('tells every peer of an ended endpoint, though one datagram in 50 is lost', async () => {
+	it('informs every peer of an ended endpoint, although one datagram in 50 is lost', async () => {
 		parts.presence.replaced(endpoint('e1', 100));
 		await clock.tickAsync(10_000);
-		assert.deepEqual([...toldOf.values()].map(ids => [...ids]), peerNames.map(() => ['e1']));
+		assert.deepEqual([...receivedIds.values()].map(ids => [...ids]), peerNames.map(() => ['e1']));
 	});
 });
 
-describe('what is believed of 66 peers', () => {
+describe('state from reports of 66 peers', () => {
 	let clock: FakeTimers.Clock;
 	let parts: EntryParts;
 
@@ -137,9 +137,9 @@
 		ended: [], crashes: [], completed: [], refused: [], limits: [], kept: [], placed: [], dataCentre: 'a', relays: [], ...more,
 	});
 
-	it('keeps a load for three refresh intervals, and a plan for a lease', () => {
+	it('holds a reported load for three refresh intervals, and a planned change for the duration of a lease', () => {
 		const ttlMs = 3 * parts.peers.refreshMs();
-		parts.book.heard(reportOf('vm-2', {loads: [['e1', 3, 4000, 9000, 0]]}));
+		parts.endpointLoads.heard(reportOf('vm-2', {loads: [['e1', 3, 4000, 9000, 0]]}));
 		parts.versions.planned('e1', 2, 5000);
 		const dueInMs = () => parts.versions.of(endpoint('e1', 100), 'm').dueInMs;
 		clock.tick(parts.timings.leaseMs);
@@ -147,12 +147,12 @@
 		clock.tick(1);
 		assert.equal(dueInMs(), Number.POSITIVE_INFINITY);
 		clock.tick(ttlMs - 1 - parts.timings.leaseMs);
-		assert.equal(parts.book.load(endpoint('e1', 100)).running, 3);
+		assert.equal(parts.endpointLoads.load(endpoint('e1', 100)).running, 3);
 		clock.tick(1);
-		assert.equal(parts.book.load(endpoint('e1', 100)).running, 0);
+		assert.equal(parts.endpointLoads.load(endpoint('e1', 100)).running, 0);
 	});
 
-	it('chooses among a sample of engines where most peers hear of its prompts late', () => {
+	it('chooses among a sample of engines if most peers learn of its prompts late', () => {
 		parts.view.acceptDocument({
 			version: 1,
 			routes: [],
@@ -183,8 +183,8 @@
 		assert.isAbove(used.size, 20);
 	});
 
-	it('reads the lease as soon as its holder\'s last word has run out', async () => {
-		// A holder that died would else be trusted until it counts as away.
+	it('reads the lease as soon as the time that its holder last announced has run out', async () => {
+		// Otherwise a holder that crashed would be trusted until it counts as away.
 		let reads = 0;
 		const heardAt = performance.now();
 		const holder = {report: reportOf('vm-2', {duty: [1, 1200]}), heardAt};
--- a/packages/entry/src/test/retry-budgets.test.ts
+++ b/packages/entry/src/test/retry-budgets.test.ts
@@ -11,15 +11,15 @@
 const stepMs = 100;
 const steps = 300;
 
-/** What one daemon sees in one step: requests, and whether its process is killed and started again. */
-const eventSchema = fc.record({daemon: fc.nat(daemons - 1), requests: fc.nat(6), isKilled: fc.boolean()});
+/** What happens at one daemon in one step: requests, and whether its process is killed and restarted. */
+const eventArbitrary = fc.record({daemon: fc.nat(daemons - 1), requests: fc.nat(6), isKilled: fc.boolean()});
 
-/** Steps in which something happens; killing all at once is the worst for budgets. */
-const dayArbitrary = fc.array(fc.record({
-	at: fc.nat(steps - 1), events: fc.array(eventSchema, {maxLength: 12}), isHerdKill: fc.boolean(),
+/** Steps in which something happens; killing all daemons at once is the worst case for budgets. */
+const scheduleArbitrary = fc.array(fc.record({
+	at: fc.nat(steps - 1), events: fc.array(eventArbitrary, {maxLength: 12}), killsAll: fc.boolean(),
 }), {minLength: 20, maxLength: 80});
 
-type Day = Array<{at: number; events: Array<{daemon: number; requests: number; isKilled: boolean}>; isHerdKill: boolean}>;
+type Schedule = Array<{at: number; events: Array<{daemon: number; requests: number; isKilled: boolean}>; killsAll: boolean}>;
 
 describe('the retry budgets of all daemons', () => {
 	let clock: FakeTimers.Clock;
@@ -32,22 +32,22 @@
 		clock.uninstall();
 	});
 
-	const open = (isFirstStart: boolean): AttemptBudget => wireBudgets({
+	const openBudget = (isFirstStart: boolean): AttemptBudget => wireBudgets({
 		settings: {isFirstStart, retries: {share, windowMs, extra}},
 		peers: {known: () => new Map(Array.from({length: daemons - 1}, (_item, index) => [`d${index}`, {}]))},
 	} as unknown as Parameters<typeof wireBudgets>[0])('engines');
 
-	/** Plays a day on which every daemon repeats as often as it may; gives requests and repeats of each step. */
-	const play = (day: Day): {requests: number[]; repeats: number[]} => {
-		const budgets = Array.from({length: daemons}, () => open(true));
+	/** Simulates daemons that retry as often as their budgets allow; returns requests and retries of each step. */
+	const simulate = (schedule: Schedule): {requests: number[]; retries: number[]} => {
+		const budgets = Array.from({length: daemons}, () => openBudget(true));
 		const requests = Array.from({length: steps}, () => 0);
-		const repeats = Array.from({length: steps}, () => 0);
+		const retries = Array.from({length: steps}, () => 0);
 		for (let step = 0; step < steps; step++) {
 			clock.tick(stepMs);
-			for (const {events, isHerdKill} of day.filter(({at}) => at === step)) {
+			for (const {events, killsAll} of schedule.filter(({at}) => at === step)) {
 				for (const {daemon, requests: count, isKilled} of events) {
 					if (isKilled) {
-						budgets[daemon] = open(false);
+						budgets[daemon] = openBudget(false);
 					}
 
 					for (let index = 0; index < count; index++) {
@@ -57,32 +57,32 @@
 					requests[step] += count;
 				}
 
-				for (const daemon of isHerdKill ? budgets.keys() : []) {
-					budgets[daemon] = open(false);
+				for (const daemon of killsAll ? budgets.keys() : []) {
+					budgets[daemon] = openBudget(false);
 				}
 			}
 
 			for (const budget of budgets) {
 				while (budget.withdraw()) {
-					repeats[step]++;
+					retries[step]++;
 				}
 			}
 		}
 
-		return {requests, repeats};
+		return {requests, retries};
 	};
 
-	it('keep all repeats of a window within what the platform allows, whoever is killed when', () => {
-		// All engines fail, and daemons are killed while they repeat all they may. A
-		// process that starts again doesn't know what the one before it has spent.
+	it('keep the retries of every window within the platform\'s bound, whichever daemons are killed and when', () => {
+		// All engines fail, and daemons are killed while they use up their budgets. A
+		// restarted process doesn't know what its predecessor has spent.
 		const windowSteps = windowMs / stepMs;
 		const sum = (values: number[], from: number): number =>
 			values.slice(Math.max(0, from), Math.max(0, from + windowSteps)).reduce((total, value) => total + value, 0);
-		fc.assert(fc.property(dayArbitrary, day => {
-			const {requests, repeats} = play(day);
+		fc.assert(fc.property(scheduleArbitrary, schedule => {
+			const {requests, retries} = simulate(schedule);
 			for (let from = 0; from + windowSteps <= steps; from++) {
 				const counted = Math.max(sum(requests, from), sum(requests, from - windowSteps), sum(requests, from - (windowSteps / 2)));
-				assert.isAtMost(sum(repeats, from), (share * counted) + extra);
+				assert.isAtMost(sum(retries, from), (share * counted) + extra);
 			}
 		}), {seed: 7, numRuns: 60});
 	});
