--- a/packages/entry/src/lib/entry-daemon.ts
+++ b/packages/entry/src/lib/entry-daemon.ts
@@ -34,9 +34,9 @@
 	const isReady = (): boolean => !state.isStopping && operatorFeed.newestChange() > 0 && endpointFeed.newestChange() > 0 && view.current() !== undefined;
 	const readiness = createReadinessServer(isReady, [readinessPath]);
 	serveMetrics(readiness, metrics.text);
-	metrics.registerGauges({requestsInFlight: parts.forwarder.underWay, livePeers: () => parts.peers.live().length});
+	metrics.registerGauges({requestsInFlight: parts.forwarder.inFlight, livePeers: () => parts.peers.live().length});
 	view.onDocument(({document}) => {
-		server.limit(document.limits);
+		server.setLimits(document.limits);
 	});
 	await readiness.listen(settings.readiness);
 	await server.listen(settings.callers);
@@ -46,7 +46,7 @@
 	void parts.leases.start();
 	const keeperTimer = setInterval(parts.keeper.tick, timings.keeperEveryMs);
 	const droppedLinesTimer = setInterval(() => {
-		const count = logLineBudget.takeLeftOut();
+		const count = logLineBudget.takeDroppedCount();
 		if (count > 0) {
 			metrics.logLinesDropped(count);
 			log.warn('Log lines were dropped.', {count});
@@ -60,7 +60,7 @@
 	const stop = async (): Promise<void> => {
 		const startedAt = performance.now();
 		state.isStopping = true;
-		log.info('Daemon stops.', {count: parts.forwarder.underWay()});
+		log.info('Daemon stops.', {count: parts.forwarder.inFlight()});
 		clearInterval(keeperTimer);
 		clearInterval(droppedLinesTimer);
 		parts.refusalRows.close();
@@ -70,7 +70,7 @@
 		state.isClosed = true;
 		await Promise.race([server.close(), pause(settings.stopMs - timings.balancerDelayMs - stopReserveMs)]);
 		await Promise.race([Promise.all([parts.peers.leave(), parts.directory.leave()]), pause(stopReserveMs / 2)]);
-		log.info('Daemon has stopped.', {ms: Math.round(performance.now() - startedAt), count: parts.forwarder.underWay()});
+		log.info('Daemon has stopped.', {ms: Math.round(performance.now() - startedAt), count: parts.forwarder.inFlight()});
 	};
 
 	return {stop};
--- a/packages/entry/src/lib/entry-parts.ts
+++ b/packages/entry/src/lib/entry-parts.ts
@@ -9,7 +9,7 @@
 import {createEntryServer, createForwarder} from 'hickorywalk/forwarding.js';
 import {createLineBudget, createLog} from 'hickorywalk/observability.js';
 import {createUndiciTransport} from 'hickorywalk/orders.js';
-import {createEndpointBook, createKeptParts, createResidentParts} from 'hickorywalk/placing.js';
+import {createEndpointLoadTracker, createStoredParts, createResidentParts} from 'hickorywalk/placing.js';
 import {createHealthTracker} from 'hickorywalk/routing.js';
 import {createEngineVersions} from 'hickorywalk/weights.js';
 import {createDaemonMetrics} from './daemon-metrics.js';
@@ -45,9 +45,9 @@
 			// Each renewal of the lease is reported to all peers, and a plan can't outlive its lease.
 			planRepeatMs: () => Math.min(parts.peers.silenceMs(), parts.timings.leaseMs),
 		})).singleton(),
-		endpointLoads: asFunction((parts: EntryParts) => createEndpointBook({
+		endpointLoads: asFunction((parts: EntryParts) => createEndpointLoadTracker({
 			onLarge() {
-				parts.peers.sendSoon();
+				parts.peers.sendRoundEarly();
 			},
 			refreshMs: () => parts.peers.refreshMs(),
 		})).singleton(),
@@ -55,7 +55,7 @@
 		health: asFunction(() => createHealthTracker({
 			consecutiveFailures: 2, ejectionMs: 1000, longestEjectionMs: 8000, returnMs: 3000,
 		})).singleton(),
-		storedParts: asFunction(() => createKeptParts()).singleton(),
+		storedParts: asFunction(() => createStoredParts()).singleton(),
 		residentParts: asFunction(({view}: EntryParts) => createResidentParts({memoryTokens: view.memoryTokens})).singleton(),
 		quota: asFunction(wireQuota).singleton(),
 		quarantine: asFunction(wireQuarantine).singleton(),
--- a/packages/entry/src/lib/wiring/feed-wiring.ts
+++ b/packages/entry/src/lib/wiring/feed-wiring.ts
@@ -15,7 +15,7 @@
 		readerInMs: readers.dueInMs,
 		isFirstChoice: readers.isFirstChoice,
 		relayed: readers.relayed,
-		trustMs: timings.feedTrustMs,
+		freshMs: timings.feedTrustMs,
 		relayMs: timings.relayDelayMs,
 		relay(relay) {
 			peers.relay(table, relay);
@@ -43,7 +43,7 @@
 		handler: {update, replace: update},
 		waitMs: () => timings.feedWaitMs,
 		answerMs: timings.storeTimeoutMs,
-		restMs: 0,
+		coalesceMs: 0,
 		sharing: sharingOf('operator', parts),
 		log,
 	});
@@ -54,7 +54,7 @@
 	const {
 		store, view, timings, health, endpointLoads, presence, versions, limits, residentParts, log,
 	} = parts;
-	const tracker = createEndpointTracker({view, graceMs: timings.expiredGraceMs, outageEchoMs: timings.outageRecoveryMs});
+	const tracker = createEndpointTracker({view, graceMs: timings.expiredGraceMs, graceWindowMs: timings.outageRecoveryMs});
 	const updateHealth = (service: string | undefined): void => {
 		if (service !== undefined && view.current()?.document.services.has(service)) {
 			health.setEndpoints(service, view.endpointsOf(service).map(item => item.id));
@@ -91,7 +91,7 @@
 		handler: tracker,
 		waitMs: () => timings.feedWaitMs,
 		answerMs: timings.storeTimeoutMs,
-		restMs: timings.endpointsCoalesceMs,
+		coalesceMs: timings.endpointsCoalesceMs,
 		sharing: sharingOf('endpoints', parts),
 		log,
 	});
--- a/packages/entry/src/lib/wiring/lease-wiring.ts
+++ b/packages/entry/src/lib/wiring/lease-wiring.ts
@@ -1,6 +1,6 @@
 /** Wires the lease for ordering weights changes, and the weights keeper that acts while holding it. */
 import {createLeaseHolder, type LeaseHolder} from 'hickorywalk/leases.js';
-import {createNamingRecord, createWeightsKeeper, type NamingRecord} from 'hickorywalk/weights.js';
+import {createNamingRecord, createWeightsRollout, type NamingRecord} from 'hickorywalk/weights.js';
 import {type EntryParts} from './parts.js';
 
 /** Name of the lease for ordering weights changes. */
@@ -9,7 +9,7 @@
 /** Creates the record of named weights, which is stored with the lease. */
 export const wireNamingRecord = ({view, store, operatorFeed, log}: EntryParts): NamingRecord =>
 	createNamingRecord({
-		view, storeMs: store.clockMs, unseenMs: operatorFeed.ageMs, log,
+		view, storeMs: store.clockMs, feedAgeMs: operatorFeed.ageMs, log,
 	});
 
 /** Contends for the lease; peers' reports shorten a takeover. */
@@ -48,7 +48,7 @@
 	const {
 		settings, timings, view, versions, control, leases, endpointLoads, presence, limits, log,
 	} = parts;
-	return createWeightsKeeper({
+	return createWeightsRollout({
 		name: settings.name,
 		view,
 		versions,
@@ -59,11 +59,11 @@
 		announce: parts.peers.sendNow,
 		daemons: parts.peers.fleetSize,
 		weightsMs: settings.weightsMs,
-		lastsMs(id) {
+		remainingMs(id) {
 			const endpoint = view.endpoint(id);
 			return endpoint === undefined ? 0 : endpointLoads.load(endpoint).lastsMs;
 		},
-		limitedMs: endpoint => limits.waitMs([endpoint]),
+		minRequestIntervalMs: endpoint => limits.waitMs([endpoint]),
 		log,
 	});
 }
--- a/packages/entry/src/lib/wiring/parts.ts
+++ b/packages/entry/src/lib/wiring/parts.ts
@@ -7,12 +7,12 @@
 import {type createUndiciTransport} from 'hickorywalk/orders.js';
 import {type createPeerDirectory, type PeerExchange} from 'hickorywalk/peers.js';
 import {
-	type createEndpointChoice, type EndpointBook, type EndpointLimits, type KeptParts, type ResidentParts,
+	type createEndpointChoice, type EndpointLoadTracker, type EndpointLimits, type StoredParts, type ResidentParts,
 } from 'hickorywalk/placing.js';
 import {type CrashWatch, type Quarantine, type RefusalRows} from 'hickorywalk/quarantine.js';
 import {type FleetQuota} from 'hickorywalk/quotas.js';
 import {type AttemptBudget, type createHealthTracker} from 'hickorywalk/routing.js';
-import {type createWeightsKeeper, type EngineVersions, type NamingRecord} from 'hickorywalk/weights.js';
+import {type createWeightsRollout, type EngineVersions, type NamingRecord} from 'hickorywalk/weights.js';
 import {type DaemonMetrics} from '../daemon-metrics.js';
 import {type Timings} from '../timings.js';
 
@@ -33,9 +33,9 @@
 	log: Log;
 	view: FleetView;
 	versions: EngineVersions;
-	endpointLoads: EndpointBook;
+	endpointLoads: EndpointLoadTracker;
 	presence: EndpointPresence;
-	storedParts: KeptParts;
+	storedParts: StoredParts;
 	residentParts: ResidentParts;
 	health: ReturnType<typeof createHealthTracker>;
 	quota: FleetQuota;
@@ -52,7 +52,7 @@
 	directory: ReturnType<typeof createPeerDirectory>;
 	leases: LeaseHolder;
 	control: ReturnType<typeof createEndpointControl>;
-	keeper: ReturnType<typeof createWeightsKeeper>;
+	keeper: ReturnType<typeof createWeightsRollout>;
 	namingRecord: NamingRecord;
 	transport: ReturnType<typeof createUndiciTransport>;
 	budgetOf: (service: string) => AttemptBudget;
--- a/packages/entry/src/lib/wiring/peer-wiring.ts
+++ b/packages/entry/src/lib/wiring/peer-wiring.ts
@@ -18,16 +18,16 @@
 	const onReport = (report: PeerReport): void => {
 		if (report.isLeaving) {
 			quota.left(report.daemon);
-			endpointLoads.leftPeer(report.daemon);
+			endpointLoads.removePeer(report.daemon);
 			return;
 		}
 
 		quota.heard(report);
-		endpointLoads.heard(report);
-		parts.storedParts.heard(report.kept);
-		parts.residentParts.heard(report.placed);
+		endpointLoads.applyPeerReport(report);
+		parts.storedParts.applyPeerReport(report.kept);
+		parts.residentParts.applyPeerReport(report.placed);
 		parts.quarantine.heard(report.daemon, report);
-		parts.limits.heard(report.limits);
+		parts.limits.applyPeerReport(report.limits);
 		for (const [id, startedAt] of report.ended) {
 			const endpoint = parts.view.endpoint(id);
 			if (endpoint?.startedAt === startedAt) {
@@ -36,12 +36,12 @@
 		}
 
 		for (const [model, version, ageMs] of report.named) {
-			parts.view.datedWeights(model, version, ageMs);
+			parts.view.acceptNamingAge(model, version, ageMs);
 		}
 
 		for (const [id, version, changingTo, sinceOrderMs, dueInMs] of report.engines) {
 			if (sinceOrderMs >= 0) {
-				parts.keeper.heardOrder(id, sinceOrderMs);
+				parts.keeper.recordPeerOrder(id, sinceOrderMs);
 			}
 
 			versions.seen(id, version);
@@ -79,9 +79,9 @@
 			named: parts.view.recentWeights(settings.weightsMs * 2),
 			duty: leaseForReport(parts),
 			engines: enginesForReport(parts),
-			ended: parts.presence.endedLately(exchange.silenceMs()),
-			kept: parts.storedParts.takeNews(),
-			placed: parts.residentParts.takeNews(),
+			ended: parts.presence.recentlyEnded(exchange.silenceMs()),
+			kept: parts.storedParts.takeUnreported(),
+			placed: parts.residentParts.takeUnreported(),
 			...parts.quarantine.report(),
 			limits: parts.limits.report(),
 		}),
@@ -152,7 +152,7 @@
 		incarnation,
 		address: `${settings.peerPorts.host}:${settings.peerPorts.first}`,
 		table: ownTable,
-		everyMs: () => timings.directoryEveryMs * peers.rounds(),
+		everyMs: () => timings.directoryEveryMs * peers.roundsPerRefresh(),
 		onPeer: peers.learn,
 		log,
 	});
--- a/packages/entry/src/lib/wiring/quarantine-wiring.ts
+++ b/packages/entry/src/lib/wiring/quarantine-wiring.ts
@@ -20,7 +20,7 @@
 		},
 	},
 	onNews() {
-		parts.peers.tellSoon('all');
+		parts.peers.sendSoonTo('all');
 	},
 	log: parts.log,
 });
@@ -47,5 +47,5 @@
 
 		return listed.isLeaving ? 'leaving' : 'listed';
 	},
-	onCrash: quarantine.crashed,
+	onCrash: quarantine.recordCrash,
 });
--- a/packages/entry/src/lib/wiring/request-wiring.ts
+++ b/packages/entry/src/lib/wiring/request-wiring.ts
@@ -31,12 +31,12 @@
 	return createFleetQuota({
 		startsFull: settings.isFirstStart,
 		onUnreported() {
-			parts.peers.sendSoon();
+			parts.peers.sendRoundEarly();
 		},
-		newsMs: () => timings.reportEveryMs,
+		reportDelayMs: () => timings.reportEveryMs,
 		isBeyondRound: () => parts.peers.peersBeyondRound() > 0,
-		onShared(users) {
-			parts.peers.tellSoon(users);
+		onAnnouncement(users) {
+			parts.peers.sendSoonTo(users);
 		},
 		startUnits: settings.quota.extraUnits * initialExcessRatio,
 		daemons: () => countDaemons(parts),
@@ -51,7 +51,7 @@
 	peers: () => peers.live().map(({report}) => report.daemon),
 	isListed: (id, startedAt) => view.endpoint(id)?.startedAt === startedAt,
 	onNews() {
-		peers.tellSoon('all');
+		peers.sendSoonTo('all');
 	},
 	log,
 });
--- a/packages/entry/src/test/feed-wiring.test.ts
+++ b/packages/entry/src/test/feed-wiring.test.ts
@@ -4,7 +4,7 @@
 import {type EntryParts} from '../lib/wiring/parts.js';
 import {settingsWith} from './daemon-settings.js';
 
-const service = (name: string): [string, Service] => [name, {name, mostConnections: 10, engine: undefined}];
+const service = (name: string): [string, Service] => [name, {name, maxConnections: 10, engine: undefined}];
 
 const document = (version: number, services: readonly string[]): FleetDocument => ({
 	version,
--- a/packages/entry/src/test/peer-wiring.test.ts
+++ b/packages/entry/src/test/peer-wiring.test.ts
@@ -61,7 +61,7 @@
 		assert.isFalse(parts.presence.hasEnded(endpoint('e1', 101)));
 		assert.isFalse(parts.presence.hasEnded(endpoint('e2', 200)));
 		assert.isTrue(parts.storedParts.isKnown(':1 top'));
-		assert.deepEqual(parts.presence.endedLately(1000), [['e1', 100]]);
+		assert.deepEqual(parts.presence.recentlyEnded(1000), [['e1', 100]]);
 		const {running, pendingTokens} = parts.endpointLoads.load(endpoint('e2', 200));
 		assert.deepEqual([running, pendingTokens], [3, 4000]);
 	});
@@ -139,7 +139,7 @@
 
 	it('holds a reported load for three refresh intervals, and a planned change for the duration of a lease', () => {
 		const ttlMs = 3 * parts.peers.refreshMs();
-		parts.endpointLoads.heard(reportOf('vm-2', {loads: [['e1', 3, 4000, 9000, 0]]}));
+		parts.endpointLoads.applyPeerReport(reportOf('vm-2', {loads: [['e1', 3, 4000, 9000, 0]]}));
 		parts.versions.planned('e1', 2, 5000);
 		const dueInMs = () => parts.versions.of(endpoint('e1', 100), 'm').dueInMs;
 		clock.tick(parts.timings.leaseMs);
@@ -157,7 +157,7 @@
 			version: 1,
 			routes: [],
 			services: new Map([['engines', {
-				name: 'engines', mostConnections: 500, engine: {
+				name: 'engines', maxConnections: 500, engine: {
 					slots: 16, memoryTokens: 100_000, tokenBytes: 0, linkBytesPerMs: 1, models: ['m'],
 				},
 			}]]),
@@ -175,7 +175,7 @@
 		for (let count = 0; count < 200; count++) {
 			used.add(parts.choice.choose({
 				service: 'engines', excluded: new Set(), prompt: {
-					model: 'm', parts: [{id: 'own', tokens: 800}], promptTokens: 800, outputTokens: 10, wall: '',
+					model: 'm', parts: [{id: 'own', tokens: 800}], promptTokens: 800, outputTokens: 10, isolationKey: '',
 				},
 			})!.endpoint.id);
 		}
--- a/packages/router/src/lib/fleet/call-headers.ts
+++ b/packages/router/src/lib/fleet/call-headers.ts
@@ -50,7 +50,7 @@
 };
 
 /** Contents of an endpoint's response headers. */
-export type AnswerFacts = {
+export type ResponseFacts = {
 	/** Id of the request that the response belongs to. */
 	requestId: string | undefined;
 	/** Status and body are signed by the endpoint. */
@@ -85,9 +85,9 @@
 	readCall: (rawHeaders: readonly string[]) => CallFacts;
 	/** Headers for the endpoint: the caller's without hop-by-hop headers and those that the router sets. */
 	forEndpoint: (rawHeaders: readonly string[], dispatch: Dispatch) => string[];
-	readAnswer: (rawHeaders: readonly string[], status: number) => AnswerFacts;
+	readResponse: (rawHeaders: readonly string[], status: number) => ResponseFacts;
 	/** Headers for the caller: the endpoint's without hop-by-hop headers. */
 	forCaller: (rawHeaders: readonly string[]) => string[];
 	/** Headers of an error response that the router itself generates; `challenges` adds an authentication challenge. */
-	ownAnswer: (facts: {requestId: string | undefined; retryAfterMs: number | undefined; challenges: boolean}) => string[];
+	forRefusal: (facts: {requestId: string | undefined; retryAfterMs: number | undefined; challenges: boolean}) => string[];
 };
--- a/packages/router/src/lib/fleet/change-feed.ts
+++ b/packages/router/src/lib/fleet/change-feed.ts
@@ -18,7 +18,7 @@
 	/** Called when a peer relayed a response of the store. */
 	relayed: (daemon: string) => void;
 	/** Time after a response or a relay for which the table counts as current without a poll. */
-	trustMs: number;
+	freshMs: number;
 	/** Time that a relay may take longer than a hint of the same change. */
 	relayMs: number;
 	/** Relays a response of the store to peers. */
@@ -42,7 +42,7 @@
 	 * Pause after a response with changes and before a hint is followed, to coalesce bursts of
 	 * updates into one call.
 	 */
-	restMs: number;
+	coalesceMs: number;
 	/** Without it, this daemon reads for itself alone. */
 	sharing?: FeedSharing;
 	log: Log;
@@ -77,7 +77,7 @@
 	relayed() {
 		// Without sharing, no peer polls for this daemon.
 	},
-	trustMs: 0,
+	freshMs: 0,
 	relayMs: 0,
 	relay() {
 		// Without sharing, no peer relies on this daemon.
@@ -185,7 +185,7 @@
 		const wait = failures > 0 || isHinted || hasSkippedPolls ? 0 : options.waitMs();
 		isHinted = false;
 		hasSkippedPolls = false;
-		const isPrompt = performance.now() - respondedAt <= options.restMs + maxGapMs;
+		const isPrompt = performance.now() - respondedAt <= options.coalesceMs + maxGapMs;
 		apply(await source.changes(version, wait, wait + answerMs), isPrompt);
 	};
 
@@ -205,7 +205,7 @@
 			log.warn('Store did not respond.', {path: options.name, ms: roundedAgeMs(respondedAt), err: error});
 		}
 
-		await pause(Math.min(sharing.isFirstChoice() ? maxBackoffMs : sharing.trustMs, minBackoffMs * (2 ** Math.min(failures - 1, 8))));
+		await pause(Math.min(sharing.isFirstChoice() ? maxBackoffMs : sharing.freshMs, minBackoffMs * (2 ** Math.min(failures - 1, 8))));
 	};
 
 	/** Logs only the first of several consecutive overdue relays. */
@@ -224,7 +224,7 @@
 			}
 
 			const readerInMs = sharing.readerInMs();
-			const leftMs = Math.min(readerInMs, respondedAt + sharing.trustMs - performance.now());
+			const leftMs = Math.min(readerInMs, respondedAt + sharing.freshMs - performance.now());
 			if (leftMs <= 0) {
 				if (readerInMs > 0) {
 					logMissingRelays();
@@ -248,8 +248,8 @@
 				await failed(error);
 			}
 
-			if (hasChanges && options.restMs > 0) {
-				await pause(options.restMs);
+			if (hasChanges && options.coalesceMs > 0) {
+				await pause(options.coalesceMs);
 			}
 		}
 	};
@@ -301,7 +301,7 @@
 		ageMs: () => performance.now() - respondedAt,
 		newestChange: () => newestChange,
 		hint(known) {
-			schedulePoll(options.restMs + sharing.relayMs, () => known > Math.max(version!, newestChange));
+			schedulePoll(options.coalesceMs + sharing.relayMs, () => known > Math.max(version!, newestChange));
 		},
 		relayed(daemon, relay) {
 			sharing.relayed(daemon);
--- a/packages/router/src/lib/fleet/endpoint-presence.ts
+++ b/packages/router/src/lib/fleet/endpoint-presence.ts
@@ -22,7 +22,7 @@
 	/** The endpoint is no longer listed. */
 	forget: (id: string) => void;
 	/** Endpoints that this daemon found to have ended within the last `maxAgeMs`. */
-	endedLately: (maxAgeMs: number) => Array<[id: string, startedAt: number]>;
+	recentlyEnded: (maxAgeMs: number) => Array<[id: string, startedAt: number]>;
 };
 
 /** Time in milliseconds for which an endpoint is tried last after a failure; doubles with each further one. */
@@ -71,7 +71,7 @@
 			ended.delete(id);
 			doubts.delete(id);
 		},
-		endedLately(maxAgeMs) {
+		recentlyEnded(maxAgeMs) {
 			const recent: Array<[string, number]> = [];
 			for (const [id, {startedAt, foundAt}] of ended) {
 				if (performance.now() - foundAt <= maxAgeMs) {
--- a/packages/router/src/lib/fleet/endpoint-tracker.ts
+++ b/packages/router/src/lib/fleet/endpoint-tracker.ts
@@ -12,7 +12,7 @@
 	/** Grace period for entries that expired around a store outage. */
 	graceMs: number;
 	/** Time after an outage during which expired entries get the grace period. */
-	outageEchoMs: number;
+	graceWindowMs: number;
 };
 
 /** Handler of endpoint list changes. */
@@ -22,7 +22,7 @@
 const minOutageMs = 1000;
 
 /** Creates a tracker that writes into a view. */
-export function createEndpointTracker({view, graceMs, outageEchoMs: graceWindowMs}: EndpointTrackerOptions): EndpointTracker {
+export function createEndpointTracker({view, graceMs, graceWindowMs}: EndpointTrackerOptions): EndpointTracker {
 	const missing = new Map<string, NodeJS.Timeout>();
 	let graceUntil = Number.NEGATIVE_INFINITY;
 
--- a/packages/router/src/lib/fleet/fleet-document.ts
+++ b/packages/router/src/lib/fleet/fleet-document.ts
@@ -34,7 +34,7 @@
 	/** Target maximum pause between two events of a stream, in milliseconds. */
 	targetPauseMs: number | undefined;
 	/** Maximum number of endpoints that one request may be sent to. */
-	mostEndpoints: number;
+	maxEndpoints: number;
 	/** Priority; 0 is the most urgent. */
 	rank: number;
 	/** Requests need no key. */
@@ -63,7 +63,7 @@
 export type Service = {
 	name: string;
 	/** Maximum number of connections that one endpoint accepts from all callers together. */
-	mostConnections: number;
+	maxConnections: number;
 	/** Set if the endpoints are model engines. */
 	engine: EngineTraits | undefined;
 };
@@ -94,7 +94,7 @@
 	/** Whether units are tokens rather than requests. */
 	countsTokens: boolean;
 	/** Units charged for a request that states no token count. */
-	plainUnits: number;
+	defaultUnits: number;
 };
 
 /** Limits on callers' requests and connections. */
--- a/packages/router/src/lib/fleet/fleet-view.ts
+++ b/packages/router/src/lib/fleet/fleet-view.ts
@@ -48,7 +48,7 @@
 	/** Weights were named at most `unseenMs` ago; 0 if this process saw the naming without delay. */
 	acceptWeights: (model: string, version: number, unseenMs: number) => void;
 	/** A peer that saw the naming without delay reports its age. */
-	datedWeights: (model: string, version: number, ageMs: number) => void;
+	acceptNamingAge: (model: string, version: number, ageMs: number) => void;
 	/** Namings of the last `maxAgeMs` whose age is exact. */
 	recentWeights: (maxAgeMs: number) => Array<[model: string, version: number, ageMs: number]>;
 	/** Restores a naming from a complete record of namings up to some time. */
@@ -184,7 +184,7 @@
 			named.set(model, [...history, naming].slice(-maxNamings));
 			log.info('New weights version was named.', {version});
 		},
-		datedWeights(model, version, ageMs) {
+		acceptNamingAge(model, version, ageMs) {
 			const history = named.get(model) ?? [];
 			if (version > (history.at(-1)?.version ?? 0)) {
 				return;
--- a/packages/router/src/lib/forwarding/attempt.ts
+++ b/packages/router/src/lib/forwarding/attempt.ts
@@ -4,7 +4,7 @@
  * complete or visibly truncated.
  */
 import {Buffer} from 'node:buffer';
-import {type AnswerFacts, type CallHeaders} from '../fleet/call-headers.js';
+import {type ResponseFacts, type CallHeaders} from '../fleet/call-headers.js';
 import {type EndpointTransport, type OutgoingRequest} from '../orders/endpoint-transport.js';
 import {EndpointExchangeError} from '../orders/orders-errors.js';
 import {failureClasses, type FailureClass} from '../orders/failure-classes.js';
@@ -38,7 +38,7 @@
 	firstAt: number | undefined;
 	/** Id of the last event sent to the caller. */
 	lastEventId: string | undefined;
-	facts: AnswerFacts | undefined;
+	facts: ResponseFacts | undefined;
 };
 
 /** Options of {@link runAttempt}. */
@@ -60,7 +60,7 @@
 	/** `performance.now()` at which the request times out. */
 	deadlineAt: number;
 	/** Called with the facts of a response head that belongs to this request. */
-	onHead: (facts: AnswerFacts) => void;
+	onHead: (facts: ResponseFacts) => void;
 	/** Called when the response begins. */
 	onResponseStart: () => void;
 	/** Receives a function that cancels the attempt unless its response has begun. */
@@ -125,7 +125,7 @@
 	};
 
 	/** Whether the response belongs to this request and, if it is a success, is signed by the endpoint and unaltered. */
-	const isTrusted = (facts: AnswerFacts, status: number): boolean => {
+	const isTrusted = (facts: ResponseFacts, status: number): boolean => {
 		if (facts.requestId !== undefined && options.requestId !== undefined && facts.requestId !== options.requestId) {
 			return false;
 		}
@@ -204,7 +204,7 @@
 				return;
 			}
 
-			const facts = headers.readAnswer(received.headers, received.status);
+			const facts = headers.readResponse(received.headers, received.status);
 			if (!isTrusted(facts, received.status)) {
 				failAttempt('crossed', true);
 				return;
--- a/packages/router/src/lib/forwarding/call.ts
+++ b/packages/router/src/lib/forwarding/call.ts
@@ -109,7 +109,7 @@
 export function unitsOf(facts: CallFacts, workspace: Workspace): number {
 	return workspace.countsTokens && facts.promptTokens !== undefined
 		? facts.promptTokens + (facts.outputTokens ?? 0)
-		: workspace.plainUnits;
+		: workspace.defaultUnits;
 }
 
 function promptOf(facts: CallFacts, workspace: Workspace | undefined): PromptNeed | undefined {
@@ -122,6 +122,6 @@
 		parts: facts.parts,
 		promptTokens: facts.promptTokens ?? 0,
 		outputTokens: facts.outputTokens ?? 0,
-		wall: workspace?.isIsolated === true ? workspace.name : '',
+		isolationKey: workspace?.isIsolated === true ? workspace.name : '',
 	};
 }
--- a/packages/router/src/lib/forwarding/entry-server.ts
+++ b/packages/router/src/lib/forwarding/entry-server.ts
@@ -20,7 +20,7 @@
 export type EntryServer = {
 	listen: (address: BindAddress) => Promise<string>;
 	/** Applies new header and idle timeouts. */
-	limit: (limits: CallerLimits) => void;
+	setLimits: (limits: CallerLimits) => void;
 	/** Refuses new connections and waits for responses in flight. */
 	close: () => Promise<void>;
 };
@@ -87,7 +87,7 @@
 
 	return {
 		listen: async address => listenServer(app, address),
-		limit({headerMs, idleMs}) {
+		setLimits({headerMs, idleMs}) {
 			app.server.headersTimeout = headerMs;
 			app.server.keepAliveTimeout = idleMs;
 		},
--- a/packages/router/src/lib/forwarding/forwarder.ts
+++ b/packages/router/src/lib/forwarding/forwarder.ts
@@ -41,7 +41,7 @@
 	/** Handles one request whose body has been read; resolves when it has ended. */
 	handle: (req: IncomingMessage, body: RequestBody | undefined, res: ServerResponse) => Promise<void>;
 	/** Number of requests in flight. */
-	underWay: () => number;
+	inFlight: () => number;
 };
 
 const noDocumentRetryMs = 500;
@@ -61,7 +61,7 @@
 
 	/** Whether another endpoint may get the request; withdraws from the retry budget once per attempt. */
 	const mayTryElsewhere = (call: Call): boolean => {
-		if (call.attempts >= call.route.mostEndpoints || performance.now() >= call.deadlineAt || call.reply.isDisconnected()) {
+		if (call.attempts >= call.route.maxEndpoints || performance.now() >= call.deadlineAt || call.reply.isDisconnected()) {
 			return false;
 		}
 
@@ -88,7 +88,7 @@
 			const sentAt = performance.now();
 			const end = await send(call, chosen);
 			if (isProvenComplete(call, end)) {
-				quarantine.ran(call.digest);
+				quarantine.markCompleted(call.digest);
 			}
 
 			const decision = decideNext(call, end, {mayTryElsewhere, standingOf: quarantine.standingOf});
@@ -202,7 +202,7 @@
 				inFlight--;
 			}
 		},
-		underWay: () => inFlight,
+		inFlight: () => inFlight,
 	};
 }
 
--- a/packages/router/src/lib/forwarding/router-response.ts
+++ b/packages/router/src/lib/forwarding/router-response.ts
@@ -17,7 +17,7 @@
 	const {status, text, provesNotRun} = refusals[name];
 	const body = JSON.stringify({error: {code: name, message: text}});
 	reply.head(status, [
-		...headers.ownAnswer({requestId: facts.requestId, retryAfterMs: provesNotRun ? retryAfterMs : undefined, challenges: status === 401}),
+		...headers.forRefusal({requestId: facts.requestId, retryAfterMs: provesNotRun ? retryAfterMs : undefined, challenges: status === 401}),
 		'Content-Type',
 		'application/json',
 		'Content-Length',
--- a/packages/router/src/lib/forwarding/send-to-endpoint.ts
+++ b/packages/router/src/lib/forwarding/send-to-endpoint.ts
@@ -1,9 +1,9 @@
 /** Runs one attempt of a request and records what its outcome shows about the endpoint. */
-import {type AnswerFacts, type CallHeaders, type Dispatch} from '../fleet/call-headers.js';
+import {type ResponseFacts, type CallHeaders, type Dispatch} from '../fleet/call-headers.js';
 import {type EndpointPresence} from '../fleet/endpoint-presence.js';
 import {type EndpointTransport} from '../orders/endpoint-transport.js';
 import {brokenOff, failureClasses} from '../orders/failure-classes.js';
-import {type EndpointBook} from '../placing/endpoint-book.js';
+import {type EndpointLoadTracker} from '../placing/endpoint-load-tracker.js';
 import {type Choice, type EndpointChoice} from '../placing/endpoint-choice.js';
 import {type EndpointLimits} from '../placing/endpoint-limits.js';
 import {type CrashWatch} from '../quarantine/crash-watch.js';
@@ -17,7 +17,7 @@
 export type EndpointSenderOptions = {
 	headers: CallHeaders;
 	choice: EndpointChoice;
-	book: EndpointBook;
+	book: EndpointLoadTracker;
 	health: HealthTracker;
 	presence: EndpointPresence;
 	versions: EngineVersions;
@@ -62,13 +62,13 @@
 	});
 
 	/** The absence of a limit counts only in a signed response. */
-	const recordLimit = ({endpoint}: Choice, {limit, endpointId, isSigned}: AnswerFacts): void => {
+	const recordLimit = ({endpoint}: Choice, {limit, endpointId, isSigned}: ResponseFacts): void => {
 		if (limit === 'unreadable' || (endpointId ?? endpoint.id) !== endpoint.id) {
 			return;
 		}
 
 		if (limit !== 'none' || isSigned) {
-			limits.named(endpoint, limit === 'none' ? undefined : limit);
+			limits.recordLimit(endpoint, limit === 'none' ? undefined : limit);
 		}
 	};
 
@@ -95,7 +95,7 @@
 		const {id} = chosen.endpoint;
 		const {facts, firstAt} = call.progress;
 		if (facts?.load !== undefined) {
-			book.told(id, facts.load);
+			book.recordReportedLoad(id, facts.load);
 		}
 
 		if (facts?.weights !== undefined && call.prompt !== undefined) {
@@ -103,11 +103,11 @@
 		}
 
 		if (end.kind === 'answered' && firstAt !== undefined && call.prompt !== undefined) {
-			book.learn(id, firstAt - sentAt - chosen.fetchMs, chosen.missingTokens, chosen.pendingTokens);
+			book.updateEstimates(id, firstAt - sentAt - chosen.fetchMs, chosen.missingTokens, chosen.pendingTokens);
 		}
 
 		if (end.kind === 'failed' && brokenOff.has(end.failure)) {
-			crashWatch.brokeOff(chosen.endpoint, {digest: call.digest, position: streamPosition(call)});
+			crashWatch.reportBrokenConnection(chosen.endpoint, {digest: call.digest, position: streamPosition(call)});
 		}
 
 		recordPresence(call, chosen, end);
@@ -130,7 +130,7 @@
 			choice.placed(chosen, call.prompt);
 		}
 
-		limits.take(endpoint);
+		limits.recordSent(endpoint);
 		transport.trustIds(target);
 		const end = await runAttempt({
 			transport,
--- a/packages/router/src/lib/forwarding/silence-timeouts.ts
+++ b/packages/router/src/lib/forwarding/silence-timeouts.ts
@@ -25,7 +25,7 @@
 export function silenceTimeouts(call: Call): SilenceTimeouts {
 	const {route} = call;
 	const remainingMs = call.deadlineAt - performance.now();
-	if (!mayRunAgain(call) || call.attempts >= route.mostEndpoints) {
+	if (!mayRunAgain(call) || call.attempts >= route.maxEndpoints) {
 		return {headMs: remainingMs, eventMs: remainingMs};
 	}
 
--- a/packages/router/src/lib/observability/line-budget.ts
+++ b/packages/router/src/lib/observability/line-budget.ts
@@ -15,7 +15,7 @@
 	/** Returns whether a line of this kind may be written now, and counts it. */
 	take: (kind: string) => boolean;
 	/** Returns the number of lines dropped since the last call. */
-	takeLeftOut: () => number;
+	takeDroppedCount: () => number;
 };
 
 const windowMs = 1000;
@@ -43,7 +43,7 @@
 			written.set(kind, count + 1);
 			return true;
 		},
-		takeLeftOut() {
+		takeDroppedCount() {
 			const count = droppedCount;
 			droppedCount = 0;
 			return count;
--- a/packages/router/src/lib/peers/peer-exchange.ts
+++ b/packages/router/src/lib/peers/peer-exchange.ts
@@ -71,11 +71,11 @@
 	/** Sends a report to all peers at once, for urgent changes; resolves once the operating system has taken it. */
 	sendNow: () => Promise<void>;
 	/** Sends the next round now, unless a report was sent within the minimum interval. */
-	sendSoon: () => void;
+	sendRoundEarly: () => void;
 	/** Number of rounds that reach all peers. */
-	rounds: () => number;
+	roundsPerRefresh: () => number;
 	/** Sends a report to these peers, or all, ahead of their turn; calls within the minimum interval share a report. */
-	tellSoon: (daemons: readonly string[] | 'all') => void;
+	sendSoonTo: (daemons: readonly string[] | 'all') => void;
 	/** Maximum interval between two reports from a live peer, if none is lost. */
 	refreshMs: () => number;
 	/** Time without a report after which a peer counts as silent. */
@@ -359,13 +359,13 @@
 			pendingBroadcast ??= broadcastOnce();
 			return pendingBroadcast;
 		},
-		sendSoon() {
+		sendRoundEarly() {
 			if (performance.now() - sentAt >= minSendIntervalMs) {
 				sendRound();
 			}
 		},
-		rounds,
-		tellSoon(daemons) {
+		roundsPerRefresh: rounds,
+		sendSoonTo(daemons) {
 			for (const daemon of daemons === 'all' ? queue.keys() : daemons) {
 				urgentPeers.add(daemon);
 			}
--- a/packages/router/src/lib/peers/peer-report.ts
+++ b/packages/router/src/lib/peers/peer-report.ts
@@ -1,7 +1,7 @@
 /** Schema of the state reports between daemons. */
 import {z} from 'zod';
 import {feedRelaySchema} from '../fleet/feed-relay.js';
-import {quarantineNewsSchema} from '../quarantine/quarantine-news.js';
+import {quarantineReportSchema} from '../quarantine/quarantine-report.js';
 
 /** Maximum numbers of saved parts and placements in one report; they keep it within one datagram. */
 export const maxReportedParts = 24;
@@ -58,7 +58,7 @@
 	placed: z.array(z.tuple([z.string(), z.string(), z.number(), z.array(z.tuple([z.string(), z.number()]))])).default([]),
 	/** Table, and a store answer that this daemon relays to this peer. */
 	relays: z.array(z.tuple([z.string(), feedRelaySchema])).default([]),
-	...quarantineNewsSchema.shape,
+	...quarantineReportSchema.shape,
 	/** Endpoint, start time of its process, requests per second that it accepts from all daemons together or null, milliseconds since it stated this limit. */
 	limits: z.array(z.tuple([z.string(), z.number(), z.number().nullable(), z.number()])).default([]),
 });
--- a/packages/router/src/lib/placing/candidates.ts
+++ b/packages/router/src/lib/placing/candidates.ts
@@ -5,13 +5,13 @@
 import {type HealthTracker} from '../routing/health.js';
 import {type EngineVersions} from '../weights/engine-versions.js';
 import {type ChoiceRequest, type PromptNeed} from './choice-request.js';
-import {type EndpointBook, type EndpointLoad} from './endpoint-book.js';
+import {type EndpointLoadTracker, type EndpointLoad} from './endpoint-load-tracker.js';
 import {type EndpointLimits} from './endpoint-limits.js';
 
 /** Options of {@link createCandidates}; durations in milliseconds. */
 export type CandidatesOptions = {
 	view: FleetView;
-	book: EndpointBook;
+	book: EndpointLoadTracker;
 	health: HealthTracker;
 	presence: EndpointPresence;
 	versions: EngineVersions;
@@ -77,7 +77,7 @@
 	 * requests on those may have run, so the daemons divide the limit between them.
 	 */
 	const maxOwnConnections = ({service}: LiveEndpoint): number => {
-		const connectionLimit = view.current()?.document.services.get(service)?.mostConnections ?? Number.POSITIVE_INFINITY;
+		const connectionLimit = view.current()?.document.services.get(service)?.maxConnections ?? Number.POSITIVE_INFINITY;
 		return Math.max(minConnections, Math.floor(connectionLimit * options.connectionShare()));
 	};
 
--- a/packages/router/src/lib/placing/choice-request.ts
+++ b/packages/router/src/lib/placing/choice-request.ts
@@ -18,7 +18,7 @@
 	promptTokens: number;
 	outputTokens: number;
 	/** Name of an isolated workspace, which shares no cached parts with others; empty if not isolated. */
-	wall: string;
+	isolationKey: string;
 };
 
 /** A prompt part and its token count, as encoded in peer reports. */
@@ -28,7 +28,7 @@
 export const sharedPartsOf = ({parts}: PromptNeed): readonly PromptPart[] => parts.slice(0, -1);
 
 /** Cache scope of a prompt: its isolation key and the weights version. */
-export const scopeOf = ({wall}: PromptNeed, weights: number | undefined): string => `${wall}:${weights ?? 0}`;
+export const scopeOf = ({isolationKey}: PromptNeed, weights: number | undefined): string => `${isolationKey}:${weights ?? 0}`;
 
 /** Cache key of a part within a scope. */
 export const partKey = (scope: string, part: string): string => `${scope} ${part}`;
--- a/packages/router/src/lib/placing/endpoint-choice.ts
+++ b/packages/router/src/lib/placing/endpoint-choice.ts
@@ -9,8 +9,8 @@
 import {
 	type ChoiceRequest, partKeys, type PromptNeed, scopeOf,
 } from './choice-request.js';
-import {type EndpointLoad} from './endpoint-book.js';
-import {type KeptParts} from './stored-parts.js';
+import {type EndpointLoad} from './endpoint-load-tracker.js';
+import {type StoredParts} from './stored-parts.js';
 import {createHomeFinder} from './prompt-home.js';
 import {createPromptCostEstimator, type PromptCost} from './prompt-cost.js';
 import {type ResidentParts} from './resident-parts.js';
@@ -38,7 +38,7 @@
 /** Options of {@link createEndpointChoice}. */
 export type EndpointChoiceOptions = CandidatesOptions & SamplerOptions & {
 	/** Contents of the cache store. */
-	kept: KeptParts;
+	kept: StoredParts;
 	/** Contents of the engines' memory. */
 	resident: ResidentParts;
 	dataCentre: string;
--- a/packages/router/src/lib/placing/endpoint-limits.ts
+++ b/packages/router/src/lib/placing/endpoint-limits.ts
@@ -25,15 +25,15 @@
 /** Limits of all endpoints; rates are in requests per second. */
 export type EndpointLimits = {
 	/** Records the limit that an answer of the endpoint reported; `undefined` if a signed answer reported none. */
-	named: (endpoint: LiveEndpoint, perSecond: number | undefined) => void;
+	recordLimit: (endpoint: LiveEndpoint, perSecond: number | undefined) => void;
 	/** Applies the limits in a peer's report. */
-	heard: (news: PeerReport['limits']) => void;
+	applyPeerReport: (news: PeerReport['limits']) => void;
 	/** Known limits for this daemon's report, latest first. */
 	report: () => PeerReport['limits'];
 	/** Whether this daemon may send a request there now. */
 	canSend: (endpoint: LiveEndpoint) => boolean;
 	/** Counts a request that is sent to the endpoint. */
-	take: (endpoint: LiveEndpoint) => void;
+	recordSent: (endpoint: LiveEndpoint) => void;
 	/** Estimated milliseconds until one of these endpoints accepts another request; `undefined` if any has no limit. */
 	waitMs: (endpoints: readonly LiveEndpoint[]) => number | undefined;
 	/** Removes an endpoint that is no longer listed. */
@@ -160,14 +160,14 @@
 	};
 
 	return {
-		named({id, startedAt}, perSecond) {
+		recordLimit({id, startedAt}, perSecond) {
 			const known = limits.get(id);
 			const shouldRecord = perSecond !== undefined || (known?.startedAt === startedAt && known.perSecond !== undefined);
 			if (shouldRecord && setLimit(id, startedAt, {perSecond, namedAt: performance.now()})) {
 				options.onNews();
 			}
 		},
-		heard(news) {
+		applyPeerReport(news) {
 			for (const [id, startedAt, perSecond, ageMs] of news) {
 				const namedAt = performance.now() - ageMs;
 				const known = limits.get(id);
@@ -193,7 +193,7 @@
 			const limit = activeLimit(endpoint);
 			return limit === undefined || refill(endpoint.id, limit) >= 1;
 		},
-		take(endpoint) {
+		recordSent(endpoint) {
 			const limit = activeLimit(endpoint);
 			if (limit !== undefined) {
 				limit.tokens--;
--- a/packages/router/src/lib/placing/endpoint-book.ts
+++ b/packages/router/src/lib/placing/endpoint-load-tracker.ts
@@ -39,7 +39,7 @@
 };
 
 /** Loads and speed estimates of all endpoints, by endpoint id. */
-export type EndpointBook = {
+export type EndpointLoadTracker = {
 	load: (endpoint: LiveEndpoint) => EndpointLoad;
 	/** Requests of this daemon in flight. */
 	ownRunning: (id: string) => number;
@@ -52,11 +52,11 @@
 	/** Adds a request to the load. */
 	start: (id: string, size: RequestSize) => TrackedRequest;
 	/** Records the load that a response of the endpoint reported. */
-	told: (id: string, report: EndpointLoadReport) => void;
+	recordReportedLoad: (id: string, report: EndpointLoadReport) => void;
 	/** Updates the speed estimates; `firstMs` is the time from sending a request to its first event. */
-	learn: (id: string, firstMs: number, missingTokens: number, pendingTokens: number) => void;
-	heard: (report: PeerReport) => void;
-	leftPeer: (daemon: string) => void;
+	updateEstimates: (id: string, firstMs: number, missingTokens: number, pendingTokens: number) => void;
+	applyPeerReport: (report: PeerReport) => void;
+	removePeer: (daemon: string) => void;
 	forget: (id: string) => void;
 	/** This daemon's loads, for its report. */
 	report: () => PeerReport['loads'];
@@ -98,7 +98,7 @@
 /** A peer's loads are ignored after this many refresh intervals, but not before `minPeerTtlMs`. */
 const refreshesPerPeerTtl = 3;
 
-/** Options of {@link createEndpointBook}. */
+/** Options of {@link createEndpointLoadTracker}. */
 export type EndpointLoadTrackerOptions = {
 	/** Called when a request with a large prompt starts, which peers should know of at once. */
 	onLarge?: () => void;
@@ -113,7 +113,7 @@
 const largePromptTokens = 2000;
 
 /** Creates a tracker without requests or reports. */
-export function createEndpointBook({onLarge, refreshMs = () => 0}: EndpointLoadTrackerOptions = {}): EndpointBook {
+export function createEndpointLoadTracker({onLarge, refreshMs = () => 0}: EndpointLoadTrackerOptions = {}): EndpointLoadTracker {
 	const entries = new Map<string, Entry>();
 	const peers = new Map<string, PeerLoads>();
 	/** Sums over `peers`, by endpoint; invalid after `peerSumsValidUntil`. */
@@ -229,11 +229,11 @@
 				},
 			};
 		},
-		told(id, report) {
+		recordReportedLoad(id, report) {
 			const entry = entryOf(id);
 			entry.told = {report, at: performance.now(), ownRunningThen: entry.open.size};
 		},
-		learn(id, firstMs, missingTokens, pendingTokens) {
+		updateEstimates(id, firstMs, missingTokens, pendingTokens) {
 			const entry = entryOf(id);
 			const tokens = missingTokens + pendingTokens;
 			if (tokens < minTokensForRate) {
@@ -244,11 +244,11 @@
 				entry.msPerToken += rateSmoothing * (Math.min(seen, entry.msPerToken * 2) - entry.msPerToken);
 			}
 		},
-		heard(report) {
+		applyPeerReport(report) {
 			peers.set(report.daemon, {at: performance.now(), loads: report.loads});
 			invalidatePeerSums();
 		},
-		leftPeer(daemon) {
+		removePeer(daemon) {
 			peers.delete(daemon);
 			invalidatePeerSums();
 		},
--- a/packages/router/src/lib/placing/prompt-cost.ts
+++ b/packages/router/src/lib/placing/prompt-cost.ts
@@ -12,20 +12,20 @@
 import {
 	type ChoiceRequest, leadingTokens, partKeys, type PromptNeed, sharedPartsOf,
 } from './choice-request.js';
-import {type EndpointBook} from './endpoint-book.js';
-import {type KeptParts} from './stored-parts.js';
+import {type EndpointLoadTracker} from './endpoint-load-tracker.js';
+import {type StoredParts} from './stored-parts.js';
 import {createHomeFinder} from './prompt-home.js';
 import {type ResidentParts} from './resident-parts.js';
 
 /** Options of {@link createPromptCostEstimator}. */
 export type PromptCostOptions = {
 	view: FleetView;
-	book: EndpointBook;
+	book: EndpointLoadTracker;
 	health: HealthTracker;
 	presence: EndpointPresence;
 	versions: EngineVersions;
 	/** Contents of the cache store. */
-	kept: KeptParts;
+	kept: StoredParts;
 	/** Contents of the engines' memory. */
 	resident: ResidentParts;
 	dataCentre: string;
--- a/packages/router/src/lib/placing/prompt-home.ts
+++ b/packages/router/src/lib/placing/prompt-home.ts
@@ -42,7 +42,7 @@
 			return undefined;
 		}
 
-		const halves = halvesOf(hashOf(`${prompt.wall} ${deepest.id}`));
+		const halves = halvesOf(hashOf(`${prompt.isolationKey} ${deepest.id}`));
 		let home: string | undefined;
 		let lowest = Number.POSITIVE_INFINITY;
 		for (const {id, isLeaving} of endpoints) {
--- a/packages/router/src/lib/placing/resident-parts.ts
+++ b/packages/router/src/lib/placing/resident-parts.ts
@@ -23,9 +23,9 @@
 	/** Records that a prompt was sent to the engine. */
 	sent: (engine: EngineWeights, prompt: PromptNeed) => void;
 	/** Adds prompts that peers report as sent. */
-	heard: (placements: readonly Placement[]) => void;
+	applyPeerReport: (placements: readonly Placement[]) => void;
 	/** Returns and clears the latest `maxReportedPlacements` placements since the last call. Older ones reach peers when the engine is used again. */
-	takeNews: () => Placement[];
+	takeUnreported: () => Placement[];
 	/** Removes an endpoint that is gone or was restarted. */
 	forget: (id: string) => void;
 };
@@ -115,12 +115,12 @@
 			record(placement);
 			unreported = [...unreported, placement].slice(-maxReportedPlacements);
 		},
-		heard(placements) {
+		applyPeerReport(placements) {
 			for (const placement of placements) {
 				record(placement);
 			}
 		},
-		takeNews() {
+		takeUnreported() {
 			const taken = unreported;
 			unreported = [];
 			return taken;
--- a/packages/router/src/lib/placing/stored-parts.ts
+++ b/packages/router/src/lib/placing/stored-parts.ts
@@ -5,15 +5,15 @@
 import {maxReportedParts} from '../peers/peer-report.js';
 
 /** Recently saved parts; keys are cache keys, see `partKey`. */
-export type KeptParts = {
+export type StoredParts = {
 	/** Whether the part was saved recently. */
 	isKnown: (key: string) => boolean;
 	/** Records that a request which saves these parts was sent. */
 	saved: (keys: readonly string[]) => void;
 	/** Adds the parts that a peer reports as saved. */
-	heard: (keys: readonly string[]) => void;
+	applyPeerReport: (keys: readonly string[]) => void;
 	/** Returns and clears the latest `maxReportedParts` keys saved since the last call. Peers may save older ones again. */
-	takeNews: () => string[];
+	takeUnreported: () => string[];
 };
 
 /** Parts are saved again after this time, because the store doesn't report evictions. */
@@ -22,7 +22,7 @@
 const maxKeys = 4096;
 
 /** Creates an empty record. */
-export function createKeptParts(): KeptParts {
+export function createStoredParts(): StoredParts {
 	const savedAt = new Map<string, number>();
 	let unreported: string[] = [];
 
@@ -51,12 +51,12 @@
 
 			unreported = unreported.slice(-maxReportedParts);
 		},
-		heard(keys) {
+		applyPeerReport(keys) {
 			for (const key of keys) {
 				record(key);
 			}
 		},
-		takeNews() {
+		takeUnreported() {
 			const taken = unreported;
 			unreported = [];
 			return taken;
--- a/packages/router/src/lib/quarantine/crash-watch.ts
+++ b/packages/router/src/lib/quarantine/crash-watch.ts
@@ -20,7 +20,7 @@
 /** Detects crashes of endpoints. */
 export type CrashWatch = {
 	/** Records that the connection which carried a request broke. */
-	brokeOff: (endpoint: LiveEndpoint, suspect: Suspect) => void;
+	reportBrokenConnection: (endpoint: LiveEndpoint, suspect: Suspect) => void;
 };
 
 /** Time within which all connections of an ended process break. */
@@ -74,7 +74,7 @@
 	};
 
 	return {
-		brokeOff(endpoint, suspect) {
+		reportBrokenConnection(endpoint, suspect) {
 			const key = keyOf(endpoint);
 			if (!crashed.has(key) && stateOf(endpoint) !== 'listed') {
 				return;
--- a/packages/router/src/lib/quarantine/quarantine-news.ts
+++ b/packages/router/src/lib/quarantine/quarantine-report.ts
@@ -7,7 +7,7 @@
 /** Digest of a request, term of its refusal, milliseconds left of the term, whether the refusal is lifted. */
 export const refusalReportSchema = z.tuple([z.string(), z.number(), z.number(), z.boolean()]);
 
-export const quarantineNewsSchema = z.object({
+export const quarantineReportSchema = z.object({
 	crashes: z.array(crashReportSchema).default([]),
 	/** Digests of suspects that completed. */
 	completed: z.array(z.string()).default([]),
@@ -15,4 +15,4 @@
 });
 
 /** One daemon's report about requests that crash endpoints. */
-export type QuarantineReport = z.infer<typeof quarantineNewsSchema>;
+export type QuarantineReport = z.infer<typeof quarantineReportSchema>;
--- a/packages/router/src/lib/quarantine/quarantine.ts
+++ b/packages/router/src/lib/quarantine/quarantine.ts
@@ -10,7 +10,7 @@
 import {
 	type CrashCause, type CrashEvidenceOptions, createCrashEvidence, type ObservedCrash,
 } from './crash-evidence.js';
-import {type QuarantineReport} from './quarantine-news.js';
+import {type QuarantineReport} from './quarantine-report.js';
 
 /** How a request is to be treated. `suspect`: was in flight at a crash; `due`: may be sent once by the daemon that claims it. */
 export type Standing = 'clear' | 'suspect' | 'refused' | 'due';
@@ -55,9 +55,9 @@
 	/** Claims the right to send a due request once; never rejects. */
 	claim: (digest: string) => Promise<boolean>;
 	/** Records a crash that this daemon observed. */
-	crashed: (crash: ObservedCrash) => void;
+	recordCrash: (crash: ObservedCrash) => void;
 	/** Records that a request completed. */
-	ran: (digest: string) => void;
+	markCompleted: (digest: string) => void;
 	/** Processes a peer's report. */
 	heard: (peer: string, report: QuarantineReport) => void;
 	/** Merges refusals from the store. */
@@ -249,13 +249,13 @@
 
 			return isGranted;
 		},
-		crashed(crash) {
+		recordCrash(crash) {
 			ownCrashes.push({crash, at: performance.now() - crash.ageMs});
 			log.warn('Endpoint crashed.', {endpoint: crash.endpoint, count: crash.suspects.length, ms: Math.round(crash.ageMs)});
 			addEvidence(name, crash);
 			onNews();
 		},
-		ran(digest) {
+		markCompleted(digest) {
 			const counted = evidence.markCompleted(digest);
 			const entry = entries.get(digest);
 			if (entry !== undefined && !entry.isLifted) {
--- a/packages/router/src/lib/quotas/bucket.ts
+++ b/packages/router/src/lib/quotas/bucket.ts
@@ -51,7 +51,7 @@
 	/** Silence after which a peer is assumed to have stopped. */
 	goneMs: () => number;
 	/** Time within which reports of other daemons' admissions from a contended bucket arrive; if absent, daemons keep to their shares. */
-	newsMs?: () => number;
+	reportDelayMs?: () => number;
 };
 
 /** Fraction of the burst below which the level is low. */
@@ -170,12 +170,12 @@
 		return true;
 	}
 
-	if (fleet.newsMs === undefined) {
+	if (fleet.reportDelayMs === undefined) {
 		return false;
 	}
 
 	// Beyond its share, a daemon uses only what is left after all that peers may have admitted since their last reports.
-	const unreportedUnits = peersDemand(bucket) * fleet.newsMs() / msPerSecond;
+	const unreportedUnits = peersDemand(bucket) * fleet.reportDelayMs() / msPerSecond;
 	return bucket.level - reserve - unreportedUnits >= required;
 }
 
--- a/packages/router/src/lib/quotas/fleet-quota.ts
+++ b/packages/router/src/lib/quotas/fleet-quota.ts
@@ -39,7 +39,7 @@
 	/** Whether one round of reports doesn't reach all peers. */
 	isBeyondRound?: () => boolean;
 	/** Called when an admission should be reported to these daemons, or to all, before their turn. */
-	onShared?: (users: readonly string[] | 'all') => void;
+	onAnnouncement?: (users: readonly string[] | 'all') => void;
 };
 
 /** Quotas of all workspaces. */
@@ -169,9 +169,9 @@
 		const now = performance.now();
 		if (isFirstUse && now - announcedAt >= minAnnounceMs) {
 			announcedAt = now;
-			options.onShared?.('all');
+			options.onAnnouncement?.('all');
 		} else if (mayBeContended || bucket.level < bucket.burst * lowLevelRatio) {
-			options.onShared?.([...bucket.peers.keys()]);
+			options.onAnnouncement?.([...bucket.peers.keys()]);
 		}
 	};
 
--- a/packages/router/src/lib/weights/naming-record.ts
+++ b/packages/router/src/lib/weights/naming-record.ts
@@ -21,7 +21,7 @@
 	/** The store's steady clock in milliseconds; `undefined` before its first answer. */
 	storeMs: () => number | undefined;
 	/** Milliseconds since this daemon was last up to date with the namings; infinite if never. */
-	unseenMs: () => number;
+	feedAgeMs: () => number;
 	log: Log;
 };
 
@@ -36,7 +36,7 @@
 };
 
 /** Creates an empty record. */
-export function createNamingRecord({view, storeMs, unseenMs: feedAgeMs, log}: NamingRecordOptions): NamingRecord {
+export function createNamingRecord({view, storeMs, feedAgeMs, log}: NamingRecordOptions): NamingRecord {
 	let stored: StoredRecord | undefined;
 	let storedText: string | undefined;
 
--- a/packages/router/src/lib/weights/weights-rollout.ts
+++ b/packages/router/src/lib/weights/weights-rollout.ts
@@ -13,7 +13,7 @@
 import {type EngineVersions} from './engine-versions.js';
 import {type WeightsControl} from './weights-control.js';
 
-/** Options of {@link createWeightsKeeper}; durations in milliseconds. */
+/** Options of {@link createWeightsRollout}; durations in milliseconds. */
 export type WeightsRolloutOptions = {
 	name: string;
 	view: FleetView;
@@ -32,9 +32,9 @@
 	/** Maximum staleness of weights on which a request may begin. */
 	weightsMs: number;
 	/** Expected milliseconds until an endpoint's last request in flight ends. */
-	lastsMs: (id: string) => number;
+	remainingMs: (id: string) => number;
 	/** Minimum interval between two requests to an endpoint with a rate limit; `undefined` without a limit. */
-	limitedMs?: (endpoint: LiveEndpoint) => number | undefined;
+	minRequestIntervalMs?: (endpoint: LiveEndpoint) => number | undefined;
 	log: Log;
 };
 
@@ -44,7 +44,7 @@
 	/** Milliseconds since this daemon's last order to an engine; infinite if none. */
 	sinceOrderMs: (id: string) => number;
 	/** Records that another daemon ordered an engine `sinceMs` ago. */
-	heardOrder: (id: string, sinceMs: number) => void;
+	recordPeerOrder: (id: string, sinceMs: number) => void;
 };
 
 /** Fraction of `weightsMs` above which an engine gets hardly any requests. */
@@ -78,7 +78,7 @@
 const minLeaseMs = 300;
 
 /** Creates a rollout; it acts only while the lease is held. */
-export function createWeightsKeeper(options: WeightsRolloutOptions): WeightsRollout {
+export function createWeightsRollout(options: WeightsRolloutOptions): WeightsRollout {
 	const {view, presence, versions, control, log} = options;
 	const inProgress = new Map<string, Promise<void>>();
 	let heldFencing: number | undefined;
@@ -102,7 +102,7 @@
 
 	const drains = createEngineDrains({
 		versions,
-		remainingMs: options.lastsMs,
+		remainingMs: options.remainingMs,
 		announce() {
 			void announce();
 		},
@@ -225,7 +225,7 @@
 				return;
 			}
 
-			await pause(Math.max(pollPauseMs(task), Math.min(maxPollMs, options.limitedMs?.(task.endpoint) ?? 0)));
+			await pause(Math.max(pollPauseMs(task), Math.min(maxPollMs, options.minRequestIntervalMs?.(task.endpoint) ?? 0)));
 		}
 	};
 
@@ -285,7 +285,7 @@
 				isDoubtful: presence.isDoubtful(task.endpoint),
 				isUnusable: isUnusable(task),
 				dueInMs: versions.of(task.endpoint, task.model).dueInMs,
-				remainingMs: options.lastsMs(task.endpoint.id),
+				remainingMs: options.remainingMs(task.endpoint.id),
 			})),
 		});
 		for (const task of due) {
@@ -299,7 +299,7 @@
 
 	return {
 		sinceOrderMs: id => performance.now() - (ownOrders.get(id) ?? Number.NEGATIVE_INFINITY),
-		heardOrder(id, sinceMs) {
+		recordPeerOrder(id, sinceMs) {
 			peerOrders.set(id, Math.max(peerOrders.get(id) ?? 0, performance.now() - sinceMs));
 		},
 		tick() {
--- a/packages/router/src/placing.ts
+++ b/packages/router/src/placing.ts
@@ -1,6 +1,6 @@
 /** Chooses an endpoint for each request from the known load, cache contents and health. */
 export type * from './lib/placing/choice-request.js';
-export * from './lib/placing/endpoint-book.js';
+export * from './lib/placing/endpoint-load-tracker.js';
 export * from './lib/placing/endpoint-choice.js';
 export * from './lib/placing/endpoint-limits.js';
 export * from './lib/placing/stored-parts.js';
--- a/packages/router/src/quarantine.ts
+++ b/packages/router/src/quarantine.ts
@@ -3,6 +3,6 @@
 export * from './lib/quarantine/crash-evidence.js';
 export * from './lib/quarantine/crash-watch.js';
 export * from './lib/quarantine/quarantine.js';
-export * from './lib/quarantine/quarantine-news.js';
+export * from './lib/quarantine/quarantine-report.js';
 export * from './lib/quarantine/refusal-store.js';
 export * from './lib/quarantine/request-digest.js';
--- a/packages/router/src/test/fleet/change-feed.test.ts
+++ b/packages/router/src/test/fleet/change-feed.test.ts
@@ -47,7 +47,7 @@
 		},
 		waitMs: () => 800,
 		answerMs: 400,
-		restMs,
+		coalesceMs: restMs,
 		log: createSilentLog(),
 	});
 
--- a/packages/router/src/test/fleet/endpoint-tracker.test.ts
+++ b/packages/router/src/test/fleet/endpoint-tracker.test.ts
@@ -23,7 +23,7 @@
 	beforeEach(() => {
 		clock = FakeTimers.install({toFake: ['performance', 'setTimeout', 'clearTimeout']});
 		view = createFleetView(createSilentLog());
-		tracker = createEndpointTracker({view, graceMs: 1700, outageEchoMs: 3600});
+		tracker = createEndpointTracker({view, graceMs: 1700, graceWindowMs: 3600});
 		tracker.replace([row('e1'), row('e2')], 0);
 	});
 
--- a/packages/router/src/test/fleet/fleet-view.test.ts
+++ b/packages/router/src/test/fleet/fleet-view.test.ts
@@ -9,7 +9,7 @@
 	services: new Map(),
 	cacheStores: [],
 	workspaces: [{
-		name: 'school', keyDigests, rank: undefined, isIsolated: false, rate: 0, burst: 0, countsTokens: true, plainUnits: 1,
+		name: 'school', keyDigests, rank: undefined, isIsolated: false, rate: 0, burst: 0, countsTokens: true, defaultUnits: 1,
 	}],
 	limits: {
 		headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1,
@@ -72,8 +72,8 @@
 		const view = createFleetView(createSilentLog());
 		view.acceptWeights('m', 4, Number.POSITIVE_INFINITY);
 		assert.equal(view.namedWeights('m')!.outdatedMs(2), Number.POSITIVE_INFINITY);
-		view.datedWeights('m', 4, 1000);
-		view.datedWeights('m', 3, 5000);
+		view.acceptNamingAge('m', 4, 1000);
+		view.acceptNamingAge('m', 3, 5000);
 		const named = view.namedWeights('m')!;
 		assert.deepEqual([named.outdatedMs(3), named.outdatedMs(2)], [1000, 5000]);
 		assert.deepEqual(view.recentWeights(2000), [['m', 4, 1000]]);
@@ -82,7 +82,7 @@
 	it('treats weights as infinitely outdated while a newer version may have been missed', () => {
 		const view = createFleetView(createSilentLog());
 		view.acceptWeights('m', 5, Number.POSITIVE_INFINITY);
-		view.datedWeights('m', 5, 1000);
+		view.acceptNamingAge('m', 5, 1000);
 		const named = view.namedWeights('m')!;
 		assert.deepEqual([named.outdatedMs(2), named.outdatedMs(4)], [Number.POSITIVE_INFINITY, 1000]);
 	});
@@ -99,7 +99,7 @@
 		view.acceptWeights('m', 3, 0);
 		clock.tick(30_000);
 		view.acceptWeights('m', 5, 30_000);
-		view.datedWeights('m', 5, 1000);
+		view.acceptNamingAge('m', 5, 1000);
 		const named = view.namedWeights('m')!;
 		assert.deepEqual([named.outdatedMs(3), named.outdatedMs(4)], [30_000, 1000]);
 	});
--- a/packages/router/src/test/fleet/shared-feed.test.ts
+++ b/packages/router/src/test/fleet/shared-feed.test.ts
@@ -162,12 +162,12 @@
 			},
 			waitMs: () => waitMs,
 			answerMs,
-			restMs: 0,
+			coalesceMs: 0,
 			sharing: {
 				readerInMs: readers.dueInMs,
 				isFirstChoice: readers.isFirstChoice,
 				relayed: readers.relayed,
-				trustMs,
+				freshMs: trustMs,
 				relayMs,
 				relay(relay) {
 					send(name, relay);
--- a/packages/router/src/test/observability/line-budget.test.ts
+++ b/packages/router/src/test/observability/line-budget.test.ts
@@ -11,10 +11,10 @@
 		const taken = Array.from({length: 100}, () => budget.take('answered')).filter(Boolean);
 		assert.lengthOf(taken, 3);
 		assert.isTrue(budget.take('failed'));
-		assert.equal(budget.takeLeftOut(), 97);
+		assert.equal(budget.takeDroppedCount(), 97);
 		clock.tick(1000);
 		assert.isTrue(budget.take('answered'));
-		assert.equal(budget.takeLeftOut(), 0);
+		assert.equal(budget.takeDroppedCount(), 0);
 		clock.uninstall();
 	});
 });
--- a/packages/router/src/test/peers/large-fleet.test.ts
+++ b/packages/router/src/test/peers/large-fleet.test.ts
@@ -151,7 +151,7 @@
 		await exchange.start();
 		for (let round = 0; round < 10; round++) {
 			await clock.tickAsync(everyMs * 0.75);
-			exchange.sendSoon();
+			exchange.sendRoundEarly();
 		}
 
 		await clock.tickAsync(0);
@@ -235,7 +235,7 @@
 			placed.push([key, ':1', 10, []]);
 			await clock.tickAsync(30 + (index * 7));
 			if (index % 5 === 0) {
-				exchange.sendSoon();
+				exchange.sendRoundEarly();
 			}
 
 			if (index % 9 === 0) {
@@ -262,12 +262,12 @@
 	it('sends to some peers ahead of their turn, at most every 40 ms', async () => {
 		const {exchange, sent} = await startRecorded(emptyReport);
 		for (let at = 0; at < 100; at += 10) {
-			exchange.tellSoon(['vm-1', 'vm-2', 'nobody']);
+			exchange.sendSoonTo(['vm-1', 'vm-2', 'nobody']);
 			await clock.tickAsync(10);
 		}
 
 		assert.deepEqual([...sent.values()].map(contents => contents.length).slice(0, 4), [3, 3, 0, 0]);
-		exchange.tellSoon('all');
+		exchange.sendSoonTo('all');
 		await clock.tickAsync(40);
 		assert.deepEqual([...sent.values()].map(contents => contents.length).slice(0, 4), [4, 4, 1, 1]);
 	});
@@ -296,16 +296,16 @@
 		const {exchange, sent} = await startRecorded(emptyReport);
 		const counts = (): number[] => [...sent.values()].map(contents => contents.length);
 		const rounds = 50;
-		await clock.tickAsync(rounds * exchange.refreshMs() / exchange.rounds());
+		await clock.tickAsync(rounds * exchange.refreshMs() / exchange.roundsPerRefresh());
 		assert.equal(counts().reduce((sum, count) => sum + count, 0), rounds * 16);
-		assert.isAtLeast(Math.min(...counts()), Math.floor(rounds / exchange.rounds()));
+		assert.isAtLeast(Math.min(...counts()), Math.floor(rounds / exchange.roundsPerRefresh()));
 	});
 
 	it('sends no more datagrams per second the larger the fleet is', async () => {
 		// Sending and receiving 80 reports per second took most of an idle daemon's processor time.
 		const perSecond = (count: number): number => {
 			const exchange = open('vm-0', {openTransport: openLossy, peers: Array.from({length: count}, (_item, index) => `vm-${index + 1}`)});
-			return Math.round(Math.min(count, 16) * exchange.rounds() / exchange.refreshMs() * 1000);
+			return Math.round(Math.min(count, 16) * exchange.roundsPerRefresh() / exchange.refreshMs() * 1000);
 		};
 
 		assert.deepEqual([16, 32, 66, 100, 195, 650].map(count => perSecond(count)), [80, 57, 36, 32, 32, 32]);
@@ -325,7 +325,7 @@
 		void exchange.sendNow();
 		const left = exchange.leave();
 		void exchange.sendNow();
-		exchange.sendSoon();
+		exchange.sendRoundEarly();
 		await left;
 		await clock.tickAsync(4000);
 		for (const contents of sent.values()) {
--- a/packages/router/src/test/peers/played-network.ts
+++ b/packages/router/src/test/peers/simulated-network.ts
@@ -6,7 +6,7 @@
 } from '../../peers.js';
 import {emptyContents} from './empty-report.js';
 
-/** Options of {@link createPlayedNetwork}. */
+/** Options of {@link createSimulatedNetwork}. */
 export type SimulatedNetworkOptions = {
 	/** Number of daemons; each knows the addresses of all. */
 	size: number;
@@ -35,7 +35,7 @@
 const addressOf = (index: number): string => `${nameOf(index)}:1`;
 
 /** Creates a network; the returned function starts a daemon's exchange. */
-export function createPlayedNetwork({size, random, passes = () => true}: SimulatedNetworkOptions) {
+export function createSimulatedNetwork({size, random, passes = () => true}: SimulatedNetworkOptions) {
 	const receivers = new Map<string, {index: number; onDatagram: (content: Buffer) => void}>();
 
 	return ({index, incarnation = 1, contents, onReport}: SimulatedDaemon): PeerExchange => {
--- a/packages/router/src/test/placing/endpoint-choice.test.ts
+++ b/packages/router/src/test/placing/endpoint-choice.test.ts
@@ -7,7 +7,7 @@
 } from '../../fleet.js';
 import {createSilentLog} from '../../observability.js';
 import {
-	createEndpointBook, createEndpointChoice, createKeptParts, createResidentParts, type ChoiceRequest, type EndpointBook, type EndpointChoice, type EndpointLimits, type KeptParts, type PromptNeed,
+	createEndpointLoadTracker, createEndpointChoice, createStoredParts, createResidentParts, type ChoiceRequest, type EndpointLoadTracker, type EndpointChoice, type EndpointLimits, type StoredParts, type PromptNeed,
 } from '../../placing.js';
 import {createHealthTracker} from '../../routing.js';
 import {createEngineVersions, type EngineVersions} from '../../weights.js';
@@ -15,15 +15,15 @@
 import {createLoneLimits} from './lone-limits.js';
 
 const prompt = (subject: string, more: Partial<PromptNeed> = {}): PromptNeed => ({
-	model: 'm', parts: [{id: 'top', tokens: 2500}, {id: subject, tokens: 3800}, {id: 'own', tokens: 2900}], promptTokens: 9200, outputTokens: 13, wall: '', ...more,
+	model: 'm', parts: [{id: 'top', tokens: 2500}, {id: subject, tokens: 3800}, {id: 'own', tokens: 2900}], promptTokens: 9200, outputTokens: 13, isolationKey: '', ...more,
 });
 
 describe('createEndpointChoice', () => {
 	let clock: FakeTimers.Clock;
 	let view: FleetView;
-	let book: EndpointBook;
+	let book: EndpointLoadTracker;
 	let presence: EndpointPresence;
-	let kept: KeptParts;
+	let kept: StoredParts;
 	let versions: EngineVersions;
 	let limits: EndpointLimits;
 	let choice: EndpointChoice;
@@ -46,7 +46,7 @@
 			version: 1,
 			routes: [],
 			services: new Map([['engines', {
-				name: 'engines', mostConnections: 100, engine: {
+				name: 'engines', maxConnections: 100, engine: {
 					slots: 64, memoryTokens: 96_000, tokenBytes: 164_000, linkBytesPerMs: 39_000_000, models: ['m'],
 				},
 			}]]),
@@ -59,9 +59,9 @@
 			},
 		};
 		view.acceptDocument(document);
-		book = createEndpointBook();
+		book = createEndpointLoadTracker();
 		presence = createEndpointPresence(createSilentLog());
-		kept = createKeptParts();
+		kept = createStoredParts();
 		versions = createEngineVersions();
 		limits = createLoneLimits();
 		const random = xoroshiro128plus(1);
@@ -138,7 +138,7 @@
 
 	it('fetches shared parts from the store, with a separate cache scope for each weights version and isolated workspace', () => {
 		const open = choose(prompt('s1'))!;
-		const isolated = choose(prompt('s1', {wall: 'club'}))!;
+		const isolated = choose(prompt('s1', {isolationKey: 'club'}))!;
 		assert.deepEqual([open.fetchFrom, open.cacheScope, isolated.cacheScope], ['10.9.0.1:80', ':1', 'club:1']);
 	});
 
@@ -147,7 +147,7 @@
 		// used to three quarters and more, and fetches queued.
 		const first = choose(prompt('s1'))!;
 		choice.placed(first, prompt('s1'));
-		kept.heard([':1 top', ':1 s1', ':1 s2']);
+		kept.applyPeerReport([':1 top', ':1 s1', ':1 s2']);
 		const other = choose(prompt('s1'), {excluded: new Set([first.endpoint.id])})!;
 		assert.deepEqual([other.fetchFrom, other.missingTokens], [first.endpoint.address, 2900]);
 		assert.equal(choose(prompt('s2'))!.fetchFrom, '10.9.0.1:80');
@@ -157,12 +157,12 @@
 		// Guards against computing a shared part twice each time an engine reports a limit.
 		const home = choose(prompt('s1'))!;
 		choice.placed(home, prompt('s1'));
-		limits.named(home.endpoint, 1);
+		limits.recordLimit(home.endpoint, 1);
 		const away = choose(prompt('s1'))!;
 		assert.notEqual(away.endpoint.id, home.endpoint.id);
 		assert.deepEqual([away.fetchFrom, away.missingTokens], [home.endpoint.address, 2900]);
 		choice.placed(away, prompt('s1'));
-		limits.named(home.endpoint, undefined);
+		limits.recordLimit(home.endpoint, undefined);
 		const back = choose(prompt('s1'), {excluded: new Set([away.endpoint.id])})!;
 		assert.deepEqual([back.endpoint.id, back.missingTokens, back.fetchMs], [home.endpoint.id, 2900, 0]);
 	});
@@ -172,7 +172,7 @@
 		const first = choose(prompt('s1'))!;
 		const {id} = first.endpoint;
 		choice.placed(first, prompt('s1'));
-		kept.heard([':1 top', ':1 s1']);
+		kept.applyPeerReport([':1 top', ':1 s1']);
 		const source = () => choose(prompt('s1'), {excluded: new Set([id])})!.fetchFrom;
 		presence.unreached(view.endpoint(id)!);
 		assert.equal(source(), '10.9.0.1:80');
@@ -189,7 +189,7 @@
 		// and a tenth of a second to compute.
 		const {document} = view.current()!;
 		const slow = {...document, version: 2, cacheStores: [{...document.cacheStores[0], linkBytesPerMs: 39_000}]};
-		kept.heard([':1 top', ':1 s1']);
+		kept.applyPeerReport([':1 top', ':1 s1']);
 		const fast = choose(prompt('s1'))!;
 		view.acceptDocument(slow);
 		const late = choose(prompt('s1'))!;
@@ -219,7 +219,7 @@
 		// Guards against all daemons choosing an engine that has just changed its weights.
 		// All know that it is idle, but not what the others send to it; if a prompt also
 		// seemed half cached there, it would be the best choice for each of them.
-		kept.heard([':1 top', ':1 s1']);
+		kept.applyPeerReport([':1 top', ':1 s1']);
 		assert.equal(choose(prompt('s1'))!.missingTokens, 2900);
 		versions.seen(choose(prompt('s1'))!.endpoint.id, 2);
 		for (let index = 0; index < 8; index++) {
@@ -227,7 +227,7 @@
 		}
 
 		assert.equal(choose(prompt('s1'))!.missingTokens, 9200);
-		kept.heard([':2 top']);
+		kept.applyPeerReport([':2 top']);
 		assert.equal(choose(prompt('s1'))!.missingTokens, 6700);
 	});
 
@@ -253,9 +253,9 @@
 		};
 
 		assert.deepEqual([send(prompt('s1')), send(prompt('s1')), send(prompt('s2'))], ['10.9.0.1:80', undefined, '10.9.0.1:80']);
-		assert.deepEqual(kept.takeNews(), [':1 top', ':1 s1', ':1 s2']);
-		assert.isEmpty(kept.takeNews());
-		kept.heard([':1 s3']);
+		assert.deepEqual(kept.takeUnreported(), [':1 top', ':1 s1', ':1 s2']);
+		assert.isEmpty(kept.takeUnreported());
+		kept.applyPeerReport([':1 s3']);
 		assert.isUndefined(send(prompt('s3')));
 		clock.tick(20_000);
 		assert.equal(send(prompt('s1')), '10.9.0.1:80');
@@ -347,7 +347,7 @@
 
 	it('includes the load that peers report', () => {
 		const chosen = choose(prompt('s1'))!;
-		book.heard(reportOf('vm-2', {loads: [[chosen.endpoint.id, 6, 40_000, 60_000, 0]]}));
+		book.applyPeerReport(reportOf('vm-2', {loads: [[chosen.endpoint.id, 6, 40_000, 60_000, 0]]}));
 		assert.notEqual(choose(prompt('s1'))!.endpoint.id, chosen.endpoint.id);
 	});
 });
--- a/packages/router/src/test/placing/endpoint-limits.test.ts
+++ b/packages/router/src/test/placing/endpoint-limits.test.ts
@@ -41,7 +41,7 @@
 			clock.tick(10);
 			for (const [index, limits] of daemons.entries()) {
 				for (let count = 0; count < 100 && limits.canSend(endpoint); count++) {
-					limits.take(endpoint);
+					limits.recordSent(endpoint);
 					sent[index]++;
 				}
 			}
@@ -52,7 +52,7 @@
 
 	it('lets a single daemon send four fifths of the limit', () => {
 		const limits = open('a');
-		limits.named(endpoint, 2);
+		limits.recordLimit(endpoint, 2);
 		assert.closeTo(sendFor([limits], 10_000)[0], 16, 1);
 	});
 
@@ -61,7 +61,7 @@
 		const daemons = names.map(name => open(name, names));
 		const sentIn = (limit: number): number[] => {
 			for (const daemon of daemons) {
-				daemon.named(endpoint, limit);
+				daemon.recordLimit(endpoint, limit);
 			}
 
 			return sendFor(daemons, 4000);
@@ -73,29 +73,29 @@
 
 	it('applies a limit that a peer reports, and notifies peers of its own at once', () => {
 		const [a, b] = [open('a'), open('b')];
-		a.named(endpoint, 1);
+		a.recordLimit(endpoint, 1);
 		assert.equal(notifications, 1);
-		b.heard(a.report());
+		b.applyPeerReport(a.report());
 		assert.isFalse(b.canSend(endpoint));
 		assert.equal(notifications, 1);
 	});
 
 	it('ends with the first signed answer that reports no limit, also for peers and despite late reports', () => {
 		const [a, b] = [open('a'), open('b')];
-		a.named(endpoint, 1);
-		b.heard(a.report());
+		a.recordLimit(endpoint, 1);
+		b.applyPeerReport(a.report());
 		const late = a.report();
 		clock.tick(1000);
-		a.named(endpoint, undefined);
-		b.heard(a.report());
+		a.recordLimit(endpoint, undefined);
+		b.applyPeerReport(a.report());
 		clock.tick(50);
-		b.heard(late.map(([id, startedAt, perSecond, ageMs]) => [id, startedAt, perSecond, ageMs + 1050]));
+		b.applyPeerReport(late.map(([id, startedAt, perSecond, ageMs]) => [id, startedAt, perSecond, ageMs + 1050]));
 		assert.deepEqual([a.canSend(endpoint), b.canSend(endpoint)], [true, true]);
 	});
 
 	it('applies only to the process that reported the limit', () => {
 		const limits = open('a');
-		limits.named(endpoint, 1);
+		limits.recordLimit(endpoint, 1);
 		assert.isTrue(limits.canSend(endpointAt('e1', 2)));
 		assert.isTrue(limits.canSend(endpointAt('e2')));
 	});
@@ -103,10 +103,10 @@
 	it('ignores reported limits of endpoints that are not listed', () => {
 		// Guards against limits of removed endpoints that daemons report to each other indefinitely.
 		const [a, b] = [open('a'), open('b')];
-		a.named(endpoint, 1);
+		a.recordLimit(endpoint, 1);
 		const report = a.report();
 		listed.delete('e1 1');
-		b.heard(report);
+		b.applyPeerReport(report);
 		assert.isTrue(b.canSend(endpoint));
 		assert.deepEqual(a.report(), []);
 	});
@@ -115,7 +115,7 @@
 		const names = ['a', 'b', 'c'];
 		const daemons = names.map(name => open(name, names));
 		for (const daemon of daemons) {
-			daemon.named(endpoint, 1);
+			daemon.recordLimit(endpoint, 1);
 		}
 
 		const sending = new Set<number>();
@@ -133,21 +133,21 @@
 
 	it('allows occasional requests to an endpoint with a limit of 0', () => {
 		const limits = open('a');
-		limits.named(endpoint, 0);
+		limits.recordLimit(endpoint, 0);
 		assert.closeTo(sendFor([limits], 16_000)[0], 4, 1);
 	});
 
 	it('accepts the largest number as a limit', () => {
 		const limits = open('a');
-		limits.named(endpoint, Number.MAX_VALUE);
+		limits.recordLimit(endpoint, Number.MAX_VALUE);
 		assert.isAtLeast(sendFor([limits], 100)[0], 900);
 	});
 
 	it('estimates when a service with limits accepts another request', () => {
 		const limits = open('a');
 		assert.isUndefined(limits.waitMs([endpoint]));
-		limits.named(endpoint, 1);
-		limits.named(endpointAt('e2'), 4);
+		limits.recordLimit(endpoint, 1);
+		limits.recordLimit(endpointAt('e2'), 4);
 		assert.equal(limits.waitMs([endpoint, endpointAt('e2')]), 250);
 		assert.isUndefined(limits.waitMs([endpoint, endpointAt('e3')]));
 	});
--- a/packages/router/src/test/placing/endpoint-load-tracker.test.ts
+++ b/packages/router/src/test/placing/endpoint-load-tracker.test.ts
@@ -1,7 +1,7 @@
 import FakeTimers from '@sinonjs/fake-timers';
 import {assert} from 'chai';
 import {type LiveEndpoint} from '../../fleet.js';
-import {createEndpointBook} from '../../placing.js';
+import {createEndpointLoadTracker} from '../../placing.js';
 import {reportOf} from '../peers/empty-report.js';
 
 describe('createEndpointLoadTracker', () => {
@@ -10,7 +10,7 @@
 		// reports: seven prompts from six daemons went to one engine within 0.12 s, and
 		// the last of them got its first event after 1.3 s.
 		let told = 0;
-		const book = createEndpointBook({
+		const book = createEndpointLoadTracker({
 			onLarge() {
 				told++;
 			},
@@ -24,11 +24,11 @@
 
 	it('estimates the time per prompt token apart from the fixed time', () => {
 		// Counted per token, the fixed time made long prompts look too slow.
-		const book = createEndpointBook();
+		const book = createEndpointLoadTracker();
 		const firstMs = (tokens: number) => 68 + (tokens * 0.011);
 		for (let count = 0; count < 60; count++) {
-			book.learn('e1', firstMs(600), 600, 0);
-			book.learn('e1', firstMs(2900 + (count * 50)), 2900, count * 50);
+			book.updateEstimates('e1', firstMs(600), 600, 0);
+			book.updateEstimates('e1', firstMs(2900 + (count * 50)), 2900, count * 50);
 		}
 
 		const expectedMs = book.baseMs('e1') + (30_000 * book.msPerToken('e1'));
@@ -41,7 +41,7 @@
 			const endpoint: LiveEndpoint = {
 				id: 'e1', service: 'engines', address: '10.0.0.1:80', dataCentre: 'a', slots: 8, isLeaving: false, startedAt: 1, reportNumber: 1, weights: new Map(),
 			};
-			const book = createEndpointBook();
+			const book = createEndpointLoadTracker();
 			// Answers of 200 tokens take 1 s from their first event.
 			for (let count = 0; count < 200; count++) {
 				const seen = book.start('e1', {missingTokens: 0, memoryTokens: 0, outputTokens: 200});
@@ -56,7 +56,7 @@
 			work.begun();
 			clock.tick(1500);
 			assert.approximately(book.load(endpoint).lastsMs, 500, 50);
-			book.heard(reportOf('vm-2', {number: 1, loads: [['e1', 1, 0, 900, 900]]}));
+			book.applyPeerReport(reportOf('vm-2', {number: 1, loads: [['e1', 1, 0, 900, 900]]}));
 			clock.tick(100);
 			assert.approximately(book.load(endpoint).lastsMs, 800, 1);
 			work.ended(true);
@@ -73,9 +73,9 @@
 			const endpoint: LiveEndpoint = {
 				id: 'e1', service: 'engines', address: '10.0.0.1:80', dataCentre: 'a', slots: 8, isLeaving: false, startedAt: 1, reportNumber: 1, weights: new Map(),
 			};
-			const book = createEndpointBook();
+			const book = createEndpointLoadTracker();
 			const hear = (daemon: string, running: number) => {
-				book.heard(reportOf(daemon, {loads: [['e1', running, running * 100, running * 1000, 5000]]}));
+				book.applyPeerReport(reportOf(daemon, {loads: [['e1', running, running * 100, running * 1000, 5000]]}));
 			};
 
 			const sums = () => {
@@ -93,7 +93,7 @@
 			assert.deepEqual(sums(), [5, 500, 5000, 4500]);
 			clock.tick(1);
 			assert.deepEqual(sums(), [4, 400, 4000, 4499]);
-			book.leftPeer('vm-3');
+			book.removePeer('vm-3');
 			assert.deepEqual(sums(), [0, 0, 0, 0]);
 		} finally {
 			clock.uninstall();
--- a/packages/router/src/test/placing/limited-fleet.test.ts
+++ b/packages/router/src/test/placing/limited-fleet.test.ts
@@ -4,7 +4,7 @@
 import {type LiveEndpoint} from '../../fleet.js';
 import {createSilentLog} from '../../observability.js';
 import {createEndpointLimits, type EndpointLimits} from '../../placing.js';
-import {createPlayedNetwork, nameOf} from '../peers/played-network.js';
+import {createSimulatedNetwork, nameOf} from '../peers/simulated-network.js';
 
 const scenarios = [...[6, 1006, 2006, 3006, 4006, 5006].map(seed => ({size: 6, seed})), {size: 70, seed: 70}, {size: 195, seed: 195}];
 const stepMs = 10;
@@ -57,7 +57,7 @@
 		const random = () => (generator.next() >>> 0) / (2 ** 32); // eslint-disable-line no-bitwise
 		const arrivals: number[][] = endpoints.map(() => []);
 		const daemons: Daemon[] = [];
-		const openExchange = createPlayedNetwork({
+		const openExchange = createSimulatedNetwork({
 			size, random, passes: (from, to) => !(daemons[from]?.isFrozen) && !(daemons[to]?.isFrozen),
 		});
 
@@ -67,7 +67,7 @@
 				peers: () => exchange.live().map(({report}) => report.daemon),
 				isListed: () => true,
 				onNews() {
-					exchange.tellSoon('all');
+					exchange.sendSoonTo('all');
 				},
 				log: createSilentLog(),
 			});
@@ -76,7 +76,7 @@
 				incarnation,
 				contents: () => ({limits: limits.report()}),
 				onReport(report) {
-					limits.heard(report.limits);
+					limits.applyPeerReport(report.limits);
 				},
 			});
 			return {limits, isFrozen: false};
@@ -89,11 +89,11 @@
 		const send = ({limits}: Daemon): void => {
 			const free = [...endpoints.keys()].filter(index => limits.canSend(endpoints[index]));
 			const chosen = free[Math.floor(random() * free.length)];
-			limits.take(endpoints[chosen]);
+			limits.recordSent(endpoints[chosen]);
 			arrivals[chosen].push(performance.now());
 			const reportedLimit = limitAt(chosen, performance.now());
 			setTimeout(() => {
-				limits.named(endpoints[chosen], reportedLimit);
+				limits.recordLimit(endpoints[chosen], reportedLimit);
 			}, answerMs);
 		};
 
--- a/packages/router/src/test/placing/resident-parts.test.ts
+++ b/packages/router/src/test/placing/resident-parts.test.ts
@@ -12,7 +12,7 @@
 const cachedTokens = memoryTokens * 0.75;
 
 const prompt = (subject: string, more: Partial<PromptNeed> = {}): PromptNeed => ({
-	model: 'm', parts: [{id: 'top', tokens: 2500}, {id: subject, tokens: 3800}, {id: `own-${subject}`, tokens: 2900}], promptTokens: 9200, outputTokens: 100, wall: '', ...more,
+	model: 'm', parts: [{id: 'top', tokens: 2500}, {id: subject, tokens: 3800}, {id: `own-${subject}`, tokens: 2900}], promptTokens: 9200, outputTokens: 100, isolationKey: '', ...more,
 });
 
 describe('createResidentParts', () => {
@@ -23,7 +23,7 @@
 		assert.equal(parts.tokens(engine('e1'), prompt('s2')), 2500);
 		assert.equal(parts.tokens(engine('e2'), prompt('s1')), 0);
 		assert.equal(parts.tokens(engine('e1', 2), prompt('s1')), 0);
-		assert.equal(parts.tokens(engine('e1'), prompt('s1', {wall: 'club'})), 0);
+		assert.equal(parts.tokens(engine('e1'), prompt('s1', {isolationKey: 'club'})), 0);
 		assert.deepEqual([...parts.holders(1, prompt('s1'))], ['e1']);
 		assert.isEmpty([...parts.holders(2, prompt('s1'))]);
 	});
@@ -47,10 +47,10 @@
 	it('applies the placements of peers, and reports its own once', () => {
 		const [one, two] = [createResidentParts({memoryTokens: () => memoryTokens}), createResidentParts({memoryTokens: () => memoryTokens})];
 		one.sent(engine('e1'), prompt('s1'));
-		const news = one.takeNews();
+		const news = one.takeUnreported();
 		assert.deepEqual(news, [['e1', ':1', 3000, [['top', 2500], ['s1', 3800]]]]);
-		assert.isEmpty(one.takeNews());
-		two.heard(news);
+		assert.isEmpty(one.takeUnreported());
+		two.applyPeerReport(news);
 		assert.equal(two.tokens(engine('e1'), prompt('s1')), 6300);
 	});
 
@@ -87,8 +87,8 @@
 				}
 
 				own.sent(engine('e1'), need);
-				const news: Placement[] = own.takeNews();
-				other.heard(news);
+				const news: Placement[] = own.takeUnreported();
+				other.applyPeerReport(news);
 			}
 		}), {seed: 11, numRuns: 300});
 	});
--- a/packages/router/src/test/placing/rolling-update.test.ts
+++ b/packages/router/src/test/placing/rolling-update.test.ts
@@ -7,7 +7,7 @@
 import {createSilentLog} from '../../observability.js';
 import {type PeerReport} from '../../peers.js';
 import {
-	type Choice, createEndpointBook, createEndpointChoice, createKeptParts, createResidentParts, type PromptNeed,
+	type Choice, createEndpointLoadTracker, createEndpointChoice, createStoredParts, createResidentParts, type PromptNeed,
 } from '../../placing.js';
 import {createHealthTracker} from '../../routing.js';
 import {createEngineVersions} from '../../weights.js';
@@ -48,7 +48,7 @@
 	version: 1,
 	routes: [],
 	services: new Map([['engines', {
-		name: 'engines', mostConnections: 10_000, engine: {
+		name: 'engines', maxConnections: 10_000, engine: {
 			slots, memoryTokens, tokenBytes, linkBytesPerMs, models: ['m'],
 		},
 	}]]),
@@ -148,9 +148,9 @@
 function createDaemon(random: () => number) {
 	const view = createFleetView(createSilentLog());
 	view.acceptDocument(document);
-	const book = createEndpointBook();
+	const book = createEndpointLoadTracker();
 	const versions = createEngineVersions();
-	const kept = createKeptParts();
+	const kept = createStoredParts();
 	const resident = createResidentParts({memoryTokens: view.memoryTokens});
 	const choice = createEndpointChoice({
 		view, book, health: createHealthTracker(), presence: createEndpointPresence(createSilentLog()), versions, limits: createLoneLimits(), kept, resident,
@@ -164,7 +164,7 @@
 type Daemon = ReturnType<typeof createDaemon>;
 
 const createReport = ({book, kept, resident}: Daemon, daemon: string): PeerReport =>
-	reportOf(daemon, {kept: kept.takeNews(), placed: resident.takeNews(), loads: book.report()});
+	reportOf(daemon, {kept: kept.takeUnreported(), placed: resident.takeUnreported(), loads: book.report()});
 
 /**
  * Simulates two seconds on version 1, then an update with a third of the engines unavailable at
@@ -217,9 +217,9 @@
 				},
 				onEnd() {
 					work.ended(true);
-					book.told(id, load);
+					book.recordReportedLoad(id, load);
 					versions.seen(id, one.version);
-					book.learn(id, one.firstAt! - one.sentAt - chosen.fetchMs, chosen.missingTokens, chosen.pendingTokens);
+					book.updateEstimates(id, one.firstAt! - one.sentAt - chosen.fetchMs, chosen.missingTokens, chosen.pendingTokens);
 				},
 			}, sourceOf);
 		};
@@ -229,11 +229,11 @@
 			const own = {id: `own ${number}`, tokens: 2890};
 			if (uniformFloat64(random) < 2 / 3) {
 				sendPrompt(daemon, {
-					model: 'm', parts: [{id: 'top', tokens: 2500}, {id: `s${uniformInt(random, 0, subjectCount - 1)}`, tokens: 3800}, own], promptTokens: 9190, outputTokens: 10, wall: '',
+					model: 'm', parts: [{id: 'top', tokens: 2500}, {id: `s${uniformInt(random, 0, subjectCount - 1)}`, tokens: 3800}, own], promptTokens: 9190, outputTokens: 10, isolationKey: '',
 				}, 815);
 			} else {
 				sendPrompt(daemon, {
-					model: 'm', parts: [{...own, tokens: 830}], promptTokens: 830, outputTokens: 58, wall: '',
+					model: 'm', parts: [{...own, tokens: 830}], promptTokens: 830, outputTokens: 58, isolationKey: '',
 				}, 407);
 			}
 		};
@@ -273,9 +273,9 @@
 			const news = createReport(from, name);
 			for (const to of daemons) {
 				if (to !== from) {
-					to.book.heard(news);
-					to.kept.heard(news.kept);
-					to.resident.heard(news.placed);
+					to.book.applyPeerReport(news);
+					to.kept.applyPeerReport(news.kept);
+					to.resident.applyPeerReport(news.placed);
 				}
 			}
 		};
--- a/packages/router/src/test/quarantine/fleet-refusal.test.ts
+++ b/packages/router/src/test/quarantine/fleet-refusal.test.ts
@@ -3,7 +3,7 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {createSilentLog} from '../../observability.js';
 import {createQuarantine, type Quarantine} from '../../quarantine.js';
-import {createPlayedNetwork, nameOf} from '../peers/played-network.js';
+import {createSimulatedNetwork, nameOf} from '../peers/simulated-network.js';
 
 const boundMs = 3000;
 const crashEveryMs = 500;
@@ -29,7 +29,7 @@
 	const openFleet = (size: number) => {
 		const generator = xoroshiro128plus(size);
 		const state = {isFrozen: false};
-		const openExchange = createPlayedNetwork({
+		const openExchange = createSimulatedNetwork({
 			size,
 			random: () => (generator.next() >>> 0) / (2 ** 32), // eslint-disable-line no-bitwise
 			passes: (from, to) => !(to === halfReachableIndex && from % 2 === 0) && !(state.isFrozen && (to === frozenIndex || from === frozenIndex)),
@@ -40,7 +40,7 @@
 				name: nameOf(index),
 				store: {save: () => undefined, claim: async () => false, remove: () => undefined},
 				onNews() {
-					exchange.tellSoon('all');
+					exchange.sendSoonTo('all');
 				},
 				log: createSilentLog(),
 			});
@@ -68,7 +68,7 @@
 		await clock.tickAsync(1000);
 		fleet.state.isFrozen = true;
 		for (let crash = 0; crash < 3; crash++) {
-			daemons[crash].crashed({
+			daemons[crash].recordCrash({
 				endpoint: `e${crash}`, startedAt: 1, ageMs: 0, suspects: ['bad', `beside-${crash}`].map(digest => ({digest, position: ''})),
 			});
 			await clock.tickAsync(crash < 2 ? crashEveryMs : startAfterMs);
--- a/packages/router/src/test/quarantine/quarantine.test.ts
+++ b/packages/router/src/test/quarantine/quarantine.test.ts
@@ -58,7 +58,7 @@
 	const crash = (quarantine: Quarantine, digest: string): void => {
 		clock.tick(200);
 		starts++;
-		quarantine.crashed({
+		quarantine.recordCrash({
 			endpoint: 'e', startedAt: starts, ageMs: 0, suspects: [{digest, position: ''}],
 		});
 	};
@@ -112,7 +112,7 @@
 		const late: QuarantineReport = b.report();
 		clock.tick(firstTermMs + 1);
 		assert.isTrue(await a.claim('mended'));
-		a.ran('mended');
+		a.markCompleted('mended');
 		sendReport(a, b);
 		a.heard('late', late);
 		b.heard('late', late);
@@ -122,7 +122,7 @@
 	it('lifts a peer\'s refusal of a request that completed here recently', () => {
 		// Guards against refusing a popular request on daemons that observed only its crashes.
 		const [a, b] = [open('a'), open('b')];
-		b.ran('popular');
+		b.markCompleted('popular');
 		crashThrice(a, 'popular');
 		sendReport(a, b);
 		sendReport(b, a);
--- a/packages/router/src/test/quotas/fleet-quota.test.ts
+++ b/packages/router/src/test/quotas/fleet-quota.test.ts
@@ -50,7 +50,7 @@
 		const due = new Set<number>();
 		const reportedAt = Array.from({length: daemons}, () => 0);
 		const open = (index: number, startsFull: boolean) => createFleetQuota({
-			startsFull, onUnreported: () => due.add(index), startUnits: restartUnits, daemons: () => daemons, silenceMs: () => 1000, goneMs: () => windowMs, newsMs: () => reportEveryMs,
+			startsFull, onUnreported: () => due.add(index), startUnits: restartUnits, daemons: () => daemons, silenceMs: () => 1000, goneMs: () => windowMs, reportDelayMs: () => reportEveryMs,
 		});
 		const quotas = Array.from({length: daemons}, (_item, index) => open(index, true));
 		const played: SimulationResult = {admitted: [], refused: []};
@@ -136,7 +136,7 @@
 	it('admits small requests from a contended bucket while any units are left', () => {
 		// Guards against refusing orders of 200 units although the bucket holds 6,000.
 		const quota = createFleetQuota({
-			startsFull: true, onUnreported: () => undefined, startUnits: 0, daemons: () => 9, silenceMs: () => 1000, goneMs: () => windowMs, newsMs: () => reportEveryMs,
+			startsFull: true, onUnreported: () => undefined, startUnits: 0, daemons: () => 9, silenceMs: () => 1000, goneMs: () => windowMs, reportDelayMs: () => reportEveryMs,
 		});
 		const limits = workspace(29_000);
 		quota.admit(limits, 5000);
--- a/packages/router/src/test/quotas/large-fleet-quota.test.ts
+++ b/packages/router/src/test/quotas/large-fleet-quota.test.ts
@@ -70,9 +70,9 @@
 		const numberOf = (name: string): number => Number(name.slice(1));
 		const open = (index: number): FleetQuota => createFleetQuota({
 			startsFull: true, onUnreported: () => due.add(index), startUnits: extraUnits / 2, daemons: () => daemons, silenceMs: () => silenceMs, goneMs: () => silenceMs + windowMs - 1000,
-			newsMs: () => reportEveryMs,
+			reportDelayMs: () => reportEveryMs,
 			isBeyondRound: () => daemons - 1 > peersPerRound,
-			onShared(users) {
+			onAnnouncement(users) {
 				for (const user of users === 'all' ? quotas.keys() : users.map(name => numberOf(name))) {
 					urgent[index].add(user);
 				}
@@ -125,7 +125,7 @@
 		const quota = createFleetQuota({
 			startsFull: true, onUnreported: () => undefined, startUnits: 0, daemons: () => 200, silenceMs: () => 5000, goneMs: () => 12_000,
 			isBeyondRound: () => true,
-			onShared(users) {
+			onAnnouncement(users) {
 				announcements += users === 'all' ? 1 : 0;
 			},
 		});
--- a/packages/router/src/test/quotas/simulated-quota.ts
+++ b/packages/router/src/test/quotas/simulated-quota.ts
@@ -12,7 +12,7 @@
 export const windowMs = 8000;
 
 export const workspace = (rate: number, burst = rate): Workspace => ({
-	name: 'school', keyDigests: [], rank: undefined, isIsolated: false, rate, burst, countsTokens: true, plainUnits: 1,
+	name: 'school', keyDigests: [], rank: undefined, isIsolated: false, rate, burst, countsTokens: true, defaultUnits: 1,
 });
 
 export const report = (daemon: string, quota: FleetQuota, number: number): PeerReport => reportOf(daemon, {number, usage: quota.report()});
--- a/packages/router/src/test/weights/change-under-load.test.ts
+++ b/packages/router/src/test/weights/change-under-load.test.ts
@@ -5,10 +5,10 @@
 import {createEndpointPresence, createFleetView} from '../../fleet.js';
 import {createSilentLog} from '../../observability.js';
 import {
-	createEndpointBook, createEndpointChoice, createKeptParts, createResidentParts,
+	createEndpointLoadTracker, createEndpointChoice, createStoredParts, createResidentParts,
 } from '../../placing.js';
 import {createHealthTracker} from '../../routing.js';
-import {createEngineVersions, createWeightsKeeper, type WeightsControl} from '../../weights.js';
+import {createEngineVersions, createWeightsRollout, type WeightsControl} from '../../weights.js';
 import {createLoneLimits} from '../placing/lone-limits.js';
 import {engineDocument} from './engine-document.js';
 
@@ -44,7 +44,7 @@
 		view.acceptDocument({
 			...engineDocument,
 			services: new Map([['engines', {
-				name: 'engines', mostConnections: 10_000, engine: {
+				name: 'engines', maxConnections: 10_000, engine: {
 					slots: 64, memoryTokens: 115_000, tokenBytes: 35_136, linkBytesPerMs: 137_500_000, models: ['m'],
 				},
 			}]]),
@@ -67,16 +67,16 @@
 				return 'accepted';
 			},
 		};
-		const book = createEndpointBook();
+		const book = createEndpointLoadTracker();
 		const presence = createEndpointPresence(createSilentLog());
 		const versions = createEngineVersions();
 		const choice = createEndpointChoice({
-			view, book, health: createHealthTracker(), presence, versions, limits: createLoneLimits(), kept: createKeptParts(), resident: createResidentParts({memoryTokens: view.memoryTokens}),
+			view, book, health: createHealthTracker(), presence, versions, limits: createLoneLimits(), kept: createStoredParts(), resident: createResidentParts({memoryTokens: view.memoryTokens}),
 			dataCentre: 'a', connectionShare: () => 1, weightsMs: 12_000, daemons: () => 1, random: () => uniformFloat64(random),
 		});
-		const rollout = createWeightsKeeper({
+		const rollout = createWeightsRollout({
 			name: 'vm-1', view, presence, versions, control, held: () => ({duty: 'weights', fencing: 1, msLeft: 1000}), handoverMs: 3200, announce: () => undefined, weightsMs: 12_000,
-			lastsMs: id => book.load(view.endpoint(id)!).lastsMs, log: createSilentLog(),
+			remainingMs: id => book.load(view.endpoint(id)!).lastsMs, log: createSilentLog(),
 		});
 		const outcome: Outcome = {
 			downtimesMs: [], refused: 0, requests: 0, doneMs: 0,
@@ -86,7 +86,7 @@
 			outcome.requests++;
 			const chosen = choice.choose({
 				service: 'engines', excluded: new Set(), prompt: {
-					model: 'm', parts: [{id: 'own', tokens: 600}], promptTokens: 600, outputTokens, wall: '',
+					model: 'm', parts: [{id: 'own', tokens: 600}], promptTokens: 600, outputTokens, isolationKey: '',
 				},
 			});
 			if (chosen === undefined) {
--- a/packages/router/src/test/weights/engine-document.ts
+++ b/packages/router/src/test/weights/engine-document.ts
@@ -5,7 +5,7 @@
 	version: 1,
 	routes: [],
 	services: new Map([['engines', {
-		name: 'engines', mostConnections: 10, engine: {
+		name: 'engines', maxConnections: 10, engine: {
 			slots: 8, memoryTokens: 1000, tokenBytes: 0, linkBytesPerMs: 1, models: ['m'],
 		},
 	}]]),
--- a/packages/router/src/test/weights/naming-record.test.ts
+++ b/packages/router/src/test/weights/naming-record.test.ts
@@ -29,7 +29,7 @@
 	const start = (name: string): Daemon => {
 		const view = createFleetView(createSilentLog());
 		const record = createNamingRecord({
-			view, storeMs: () => 1_000_000 + performance.now(), unseenMs: () => feedAge, log: createSilentLog(),
+			view, storeMs: () => 1_000_000 + performance.now(), feedAgeMs: () => feedAge, log: createSilentLog(),
 		});
 		const leases = createLeaseHolder({
 			name,
@@ -104,7 +104,7 @@
 		holder.view.acceptWeights('m', 2, 0);
 		await clock.tickAsync(30_000);
 		holder.view.acceptWeights('m', 4, 30_000);
-		holder.view.datedWeights('m', 4, 1000);
+		holder.view.acceptNamingAge('m', 4, 1000);
 		await holder.tick();
 		const restarted = start('vm-2');
 		await restarted.tick();
--- a/packages/router/src/test/weights/rollout-cost.test.ts
+++ b/packages/router/src/test/weights/rollout-cost.test.ts
@@ -2,7 +2,7 @@
 import {assert} from 'chai';
 import {createEndpointPresence, createFleetView} from '../../fleet.js';
 import {createSilentLog} from '../../observability.js';
-import {createEngineVersions, createWeightsKeeper, type WeightsControl} from '../../weights.js';
+import {createEngineVersions, createWeightsRollout, type WeightsControl} from '../../weights.js';
 import {engineDocument} from './engine-document.js';
 
 const loadMs = 1300;
@@ -61,7 +61,7 @@
 				return 'accepted';
 			},
 		};
-		const rollout = createWeightsKeeper({
+		const rollout = createWeightsRollout({
 			name: 'vm-1',
 			view,
 			versions: createEngineVersions(),
@@ -73,7 +73,7 @@
 				cost.announcements++;
 			},
 			weightsMs: 10_000,
-			lastsMs: () => 0,
+			remainingMs: () => 0,
 			presence: createEndpointPresence(createSilentLog()),
 			log: createSilentLog(),
 		});
--- a/packages/router/src/test/weights/rollout-histories.test.ts
+++ b/packages/router/src/test/weights/rollout-histories.test.ts
@@ -4,7 +4,7 @@
 import {createEndpointPresence, createFleetView, type FleetView} from '../../fleet.js';
 import {createSilentLog} from '../../observability.js';
 import {
-	createEngineVersions, createWeightsKeeper, type WeightsControl, type WeightsRollout,
+	createEngineVersions, createWeightsRollout, type WeightsControl, type WeightsRollout,
 } from '../../weights.js';
 import {engineDocument} from './engine-document.js';
 
@@ -91,13 +91,13 @@
 					for (const id of other === name ? [] : ids) {
 						const sinceMs = rollouts.get(name)!.sinceOrderMs(id);
 						if (Number.isFinite(sinceMs)) {
-							rollout.heardOrder(id, sinceMs);
+							rollout.recordPeerOrder(id, sinceMs);
 						}
 					}
 				}
 			};
 
-			rollouts.set(name, createWeightsKeeper({
+			rollouts.set(name, createWeightsRollout({
 				name,
 				view: views[index],
 				versions: createEngineVersions(),
@@ -107,7 +107,7 @@
 				presence: createEndpointPresence(createSilentLog()),
 				announce: informPeers,
 				weightsMs: 8000,
-				lastsMs: () => 0,
+				remainingMs: () => 0,
 				log: createSilentLog(),
 			}));
 		}
--- a/packages/router/src/test/weights/weights-rollout.test.ts
+++ b/packages/router/src/test/weights/weights-rollout.test.ts
@@ -5,7 +5,7 @@
 } from '../../fleet.js';
 import {createSilentLog} from '../../observability.js';
 import {
-	createEngineVersions, createWeightsKeeper, type EngineVersions, type WeightsControl, type WeightsRollout,
+	createEngineVersions, createWeightsRollout, type EngineVersions, type WeightsControl, type WeightsRollout,
 } from '../../weights.js';
 import {engineDocument} from './engine-document.js';
 
@@ -78,7 +78,7 @@
 	/** Minimum milliseconds between two requests to an engine with a rate limit, by engine. */
 	let minRequestIntervalMs: Map<string, number>;
 
-	const createRollout = (): WeightsRollout => createWeightsKeeper({
+	const createRollout = (): WeightsRollout => createWeightsRollout({
 		name: 'vm-1',
 		view,
 		versions,
@@ -87,8 +87,8 @@
 		handoverMs: 3200,
 		announce: () => undefined,
 		weightsMs: 8000,
-		lastsMs: id => remainingMs.get(id) ?? 0,
-		limitedMs: ({id}) => minRequestIntervalMs.get(id),
+		remainingMs: id => remainingMs.get(id) ?? 0,
+		minRequestIntervalMs: ({id}) => minRequestIntervalMs.get(id),
 		presence: createEndpointPresence(createSilentLog()),
 		log: createSilentLog(),
 	});
@@ -183,7 +183,7 @@
 		fencing = 2;
 		rollout = createRollout();
 		await clock.tickAsync(4000);
-		rollout.heardOrder('e3', 1000);
+		rollout.recordPeerOrder('e3', 1000);
 		const heardAt = performance.now();
 		view.acceptWeights('m', 2, 0);
 		await clock.tickAsync(4000);
