--- a/packages/entry/src/lib/entry-daemon.ts
+++ b/packages/entry/src/lib/entry-daemon.ts
@@ -44,7 +44,7 @@
 	parts.directory.start();
 	parts.refusalRows.start();
 	void parts.leases.start();
-	const keeperTimer = setInterval(parts.keeper.tick, timings.keeperEveryMs);
+	const rolloutTimer = setInterval(parts.weightsRollout.tick, timings.rolloutEveryMs);
 	const droppedLinesTimer = setInterval(() => {
 		const count = logLineBudget.takeDroppedCount();
 		if (count > 0) {
@@ -61,7 +61,7 @@
 		const startedAt = performance.now();
 		state.isStopping = true;
 		log.info('Daemon stops.', {count: parts.forwarder.inFlight()});
-		clearInterval(keeperTimer);
+		clearInterval(rolloutTimer);
 		clearInterval(droppedLinesTimer);
 		parts.refusalRows.close();
 		await parts.leases.release();
--- a/packages/entry/src/lib/entry-parts.ts
+++ b/packages/entry/src/lib/entry-parts.ts
@@ -14,7 +14,7 @@
 import {createEngineVersions} from 'hickorywalk/weights.js';
 import {createDaemonMetrics} from './daemon-metrics.js';
 import {timingsFor} from './timings.js';
-import {wireKeeper, wireLeases, wireNamingRecord} from './wiring/lease-wiring.js';
+import {wireWeightsRollout, wireLeases, wireNamingRecord} from './wiring/lease-wiring.js';
 import {wireEndpointFeed, wireOperatorFeed} from './wiring/feed-wiring.js';
 import {type EntryParts} from './wiring/parts.js';
 import {wireDirectory, wirePeers} from './wiring/peer-wiring.js';
@@ -45,7 +45,7 @@
 			// Each renewal of the lease is reported to all peers, and a plan can't outlive its lease.
 			planRepeatMs: () => Math.min(parts.peers.silenceMs(), parts.timings.leaseMs),
 		})).singleton(),
-		endpointLoads: asFunction((parts: EntryParts) => createEndpointLoadTracker({
+		loadTracker: asFunction((parts: EntryParts) => createEndpointLoadTracker({
 			onLarge() {
 				parts.peers.sendRoundEarly();
 			},
@@ -71,7 +71,7 @@
 		directory: asFunction(wireDirectory).singleton(),
 		leases: asFunction(wireLeases).singleton(),
 		control: asFunction(({timings}: EntryParts) => createEndpointControl({timeoutMs: timings.engineTimeoutMs})).singleton(),
-		keeper: asFunction(wireKeeper).singleton(),
+		weightsRollout: asFunction(wireWeightsRollout).singleton(),
 		namingRecord: asFunction(wireNamingRecord).singleton(),
 		transport: asFunction(() => createUndiciTransport({connectMs: connectTimeoutMs, connectionsPerPool: maxConnectionsPerEndpoint})).singleton(),
 		budgetOf: asFunction(wireBudgets).singleton(),
@@ -86,7 +86,7 @@
 			crashWatch: parts.crashWatch,
 			limits: parts.limits,
 			choice: parts.choice,
-			book: parts.endpointLoads,
+			loadTracker: parts.loadTracker,
 			health: parts.health,
 			presence: parts.presence,
 			versions: parts.versions,
--- a/packages/entry/src/lib/timings.ts
+++ b/packages/entry/src/lib/timings.ts
@@ -6,7 +6,7 @@
 	/** Long-poll wait at the store, for a daemon that is an elected reader of a table. */
 	feedWaitMs: number;
 	/** Time after a peer's relay for which a table counts as current without a read of the store. */
-	feedTrustMs: number;
+	feedFreshMs: number;
 	/** Time by which a relay may arrive later than a hint of the same change. */
 	relayDelayMs: number;
 	/** Timeout of a store call, on top of its long-poll wait. */
@@ -32,10 +32,10 @@
 	/** Grace period for entries that expired during a store outage. */
 	expiredGraceMs: number;
 	/** Time after an outage during which expired entries get that grace period. */
-	outageRecoveryMs: number;
+	graceWindowMs: number;
 	/** Timeout of state and order calls to engines. */
 	engineTimeoutMs: number;
-	keeperEveryMs: number;
+	rolloutEveryMs: number;
 	/** Time for which the load balancer may still open connections after this process became unready. */
 	balancerDelayMs: number;
 };
@@ -50,7 +50,7 @@
 	const boundMs = Math.min(settings.documentMs, settings.drainMs);
 	return {
 		feedWaitMs: boundMs * 0.5,
-		feedTrustMs: boundMs * 0.7,
+		feedFreshMs: boundMs * 0.7,
 		relayDelayMs: 100,
 		storeTimeoutMs: boundMs * 0.2,
 		endpointsCoalesceMs: settings.drainMs * 0.125,
@@ -62,9 +62,9 @@
 		leaseMarginMs: settings.leaseMs * 0.15,
 		handoverMs: settings.leaseMs + 200,
 		expiredGraceMs: settings.drainMs * 0.85,
-		outageRecoveryMs: settings.heartbeatMs * 3,
+		graceWindowMs: settings.heartbeatMs * 3,
 		engineTimeoutMs: 250,
-		keeperEveryMs: 100,
+		rolloutEveryMs: 100,
 		balancerDelayMs: 2500,
 	};
 }
--- a/packages/entry/src/lib/wiring/feed-wiring.ts
+++ b/packages/entry/src/lib/wiring/feed-wiring.ts
@@ -9,14 +9,14 @@
 /** Lets only the elected readers of a table poll the store; the other daemons rely on their relays. */
 function sharingOf(table: string, {settings, timings, peers}: EntryParts): FeedSharing {
 	const readers = createFeedReaders({
-		name: settings.name, table, peers: peers.group, silenceMs: timings.feedTrustMs,
+		name: settings.name, table, peers: peers.group, silenceMs: timings.feedFreshMs,
 	});
 	return {
 		readerInMs: readers.dueInMs,
 		isFirstChoice: readers.isFirstChoice,
 		relayed: readers.relayed,
-		freshMs: timings.feedTrustMs,
-		relayMs: timings.relayDelayMs,
+		freshMs: timings.feedFreshMs,
+		relayDelayMs: timings.relayDelayMs,
 		relay(relay) {
 			peers.relay(table, relay);
 		},
@@ -42,7 +42,7 @@
 		source: createOperatorSource(store, log),
 		handler: {update, replace: update},
 		waitMs: () => timings.feedWaitMs,
-		answerMs: timings.storeTimeoutMs,
+		timeoutMs: timings.storeTimeoutMs,
 		coalesceMs: 0,
 		sharing: sharingOf('operator', parts),
 		log,
@@ -52,9 +52,9 @@
 /** Follows the endpoint list and drops local state of removed endpoints. */
 export function wireEndpointFeed(parts: EntryParts): ChangeFeed {
 	const {
-		store, view, timings, health, endpointLoads, presence, versions, limits, residentParts, log,
+		store, view, timings, health, loadTracker, presence, versions, limits, residentParts, log,
 	} = parts;
-	const tracker = createEndpointTracker({view, graceMs: timings.expiredGraceMs, graceWindowMs: timings.outageRecoveryMs});
+	const tracker = createEndpointTracker({view, graceMs: timings.expiredGraceMs, graceWindowMs: timings.graceWindowMs});
 	const updateHealth = (service: string | undefined): void => {
 		if (service !== undefined && view.current()?.document.services.has(service)) {
 			health.setEndpoints(service, view.endpointsOf(service).map(item => item.id));
@@ -68,7 +68,7 @@
 	});
 	view.onEndpoint((id, endpoint, before) => {
 		if (endpoint === undefined) {
-			endpointLoads.forget(id);
+			loadTracker.forget(id);
 			presence.forget(id);
 			versions.forget(id);
 			limits.forget(id);
@@ -90,7 +90,7 @@
 		source: createEndpointSource(store, log),
 		handler: tracker,
 		waitMs: () => timings.feedWaitMs,
-		answerMs: timings.storeTimeoutMs,
+		timeoutMs: timings.storeTimeoutMs,
 		coalesceMs: timings.endpointsCoalesceMs,
 		sharing: sharingOf('endpoints', parts),
 		log,
--- a/packages/entry/src/lib/wiring/lease-wiring.ts
+++ b/packages/entry/src/lib/wiring/lease-wiring.ts
@@ -1,4 +1,4 @@
-/** Wires the lease for ordering weights changes, and the weights keeper that acts while holding it. */
+/** Wires the lease for ordering weights changes, and the weights rollout that acts while holding it. */
 import {createLeaseHolder, type LeaseHolder} from 'hickorywalk/leases.js';
 import {createNamingRecord, createWeightsRollout, type NamingRecord} from 'hickorywalk/weights.js';
 import {type EntryParts} from './parts.js';
@@ -43,10 +43,10 @@
 	return holder;
 }
 
-/** Creates the weights keeper; it acts only while the lease is held. */
-export function wireKeeper(parts: EntryParts) {
+/** Creates the weights rollout; it acts only while the lease is held. */
+export function wireWeightsRollout(parts: EntryParts) {
 	const {
-		settings, timings, view, versions, control, leases, endpointLoads, presence, limits, log,
+		settings, timings, view, versions, control, leases, loadTracker, presence, limits, log,
 	} = parts;
 	return createWeightsRollout({
 		name: settings.name,
@@ -61,7 +61,7 @@
 		weightsMs: settings.weightsMs,
 		remainingMs(id) {
 			const endpoint = view.endpoint(id);
-			return endpoint === undefined ? 0 : endpointLoads.load(endpoint).lastsMs;
+			return endpoint === undefined ? 0 : loadTracker.load(endpoint).remainingMs;
 		},
 		minRequestIntervalMs: endpoint => limits.waitMs([endpoint]),
 		log,
--- a/packages/entry/src/lib/wiring/parts.ts
+++ b/packages/entry/src/lib/wiring/parts.ts
@@ -33,7 +33,7 @@
 	log: Log;
 	view: FleetView;
 	versions: EngineVersions;
-	endpointLoads: EndpointLoadTracker;
+	loadTracker: EndpointLoadTracker;
 	presence: EndpointPresence;
 	storedParts: StoredParts;
 	residentParts: ResidentParts;
@@ -52,7 +52,7 @@
 	directory: ReturnType<typeof createPeerDirectory>;
 	leases: LeaseHolder;
 	control: ReturnType<typeof createEndpointControl>;
-	keeper: ReturnType<typeof createWeightsRollout>;
+	weightsRollout: ReturnType<typeof createWeightsRollout>;
 	namingRecord: NamingRecord;
 	transport: ReturnType<typeof createUndiciTransport>;
 	budgetOf: (service: string) => AttemptBudget;
--- a/packages/entry/src/lib/wiring/peer-wiring.ts
+++ b/packages/entry/src/lib/wiring/peer-wiring.ts
@@ -8,7 +8,7 @@
 
 /** Creates the exchange and applies peers' reports to the local state. */
 export function wirePeers(parts: EntryParts, openTransport?: OpenDatagramTransport): PeerExchange {
-	const {settings, timings, incarnation, log, quota, endpointLoads, versions} = parts;
+	const {settings, timings, incarnation, log, quota, loadTracker, versions} = parts;
 	/** Feeds by table name in reports; resolved lazily, since the feeds depend on the exchange. */
 	const feeds: Record<string, () => ChangeFeed> = {
 		operator: () => parts.operatorFeed,
@@ -17,16 +17,16 @@
 
 	const onReport = (report: PeerReport): void => {
 		if (report.isLeaving) {
-			quota.left(report.daemon);
-			endpointLoads.removePeer(report.daemon);
+			quota.removePeer(report.daemon);
+			loadTracker.removePeer(report.daemon);
 			return;
 		}
 
-		quota.heard(report);
-		endpointLoads.applyPeerReport(report);
+		quota.applyPeerReport(report);
+		loadTracker.applyPeerReport(report);
 		parts.storedParts.applyPeerReport(report.kept);
 		parts.residentParts.applyPeerReport(report.placed);
-		parts.quarantine.heard(report.daemon, report);
+		parts.quarantine.applyPeerReport(report.daemon, report);
 		parts.limits.applyPeerReport(report.limits);
 		for (const [id, startedAt] of report.ended) {
 			const endpoint = parts.view.endpoint(id);
@@ -41,7 +41,7 @@
 
 		for (const [id, version, changingTo, sinceOrderMs, dueInMs] of report.engines) {
 			if (sinceOrderMs >= 0) {
-				parts.keeper.recordPeerOrder(id, sinceOrderMs);
+				parts.weightsRollout.recordPeerOrder(id, sinceOrderMs);
 			}
 
 			versions.seen(id, version);
@@ -75,7 +75,7 @@
 		compose: () => ({
 			heard: {operator: parts.operatorFeed.newestChange(), endpoints: parts.endpointFeed.newestChange()},
 			usage: quota.report(),
-			loads: endpointLoads.report(),
+			loads: loadTracker.report(),
 			named: parts.view.recentWeights(settings.weightsMs * 2),
 			duty: leaseForReport(parts),
 			engines: enginesForReport(parts),
@@ -118,7 +118,7 @@
  * Weights versions and changes that the lease holder knows beyond the endpoint list. A former
  * holder continues to report its latest orders until the handover time is over.
  */
-function enginesForReport({leases, versions, view, keeper, timings}: EntryParts): EngineReport[] {
+function enginesForReport({leases, versions, view, weightsRollout, timings}: EntryParts): EngineReport[] {
 	const isHolder = leases.held(weightsLease) !== undefined;
 	const changing = versions.allChanging();
 	const current: EngineReport[] = [];
@@ -130,7 +130,7 @@
 			continue;
 		}
 
-		const sinceOrderMs = keeper.sinceOrderMs(id);
+		const sinceOrderMs = weightsRollout.sinceOrderMs(id);
 		const {version, dueInMs} = versions.of(endpoint, model);
 		const isOrdered = sinceOrderMs <= timings.handoverMs;
 		const differsFromList = changing.has(id) || version !== endpoint.weights.get(model);
--- a/packages/entry/src/lib/wiring/quarantine-wiring.ts
+++ b/packages/entry/src/lib/wiring/quarantine-wiring.ts
@@ -19,7 +19,7 @@
 			parts.refusalRows.remove(digest);
 		},
 	},
-	onNews() {
+	onUpdate() {
 		parts.peers.sendSoonTo('all');
 	},
 	log: parts.log,
--- a/packages/entry/src/lib/wiring/request-wiring.ts
+++ b/packages/entry/src/lib/wiring/request-wiring.ts
@@ -50,7 +50,7 @@
 	name: settings.name,
 	peers: () => peers.live().map(({report}) => report.daemon),
 	isListed: (id, startedAt) => view.endpoint(id)?.startedAt === startedAt,
-	onNews() {
+	onUpdate() {
 		peers.sendSoonTo('all');
 	},
 	log,
@@ -58,9 +58,9 @@
 
 /** Creates the endpoint choice. */
 export function wireChoice(parts: EntryParts) {
-	const {view, endpointLoads: book, health, presence, versions, limits, storedParts: kept, residentParts: resident, peers, settings} = parts;
+	const {view, loadTracker: book, health, presence, versions, limits, storedParts: kept, residentParts: resident, peers, settings} = parts;
 	return createEndpointChoice({
-		view, book, health, presence, versions, limits, kept, resident, dataCentre: settings.dataCentre, connectionShare: () => connectionsRatio / peers.fleetSize(), weightsMs: settings.weightsMs,
+		view, loadTracker: book, health, presence, versions, limits, storedParts: kept, residentParts: resident, dataCentre: settings.dataCentre, connectionShare: () => connectionsRatio / peers.fleetSize(), weightsMs: settings.weightsMs,
 		// Peers within one report round learn of large prompts at once, so only the others may choose the same endpoint.
 		daemons: () => 1 + peers.peersBeyondRound(), random: Math.random,
 	});
--- a/packages/entry/src/test/peer-wiring.test.ts
+++ b/packages/entry/src/test/peer-wiring.test.ts
@@ -62,7 +62,7 @@
 		assert.isFalse(parts.presence.hasEnded(endpoint('e2', 200)));
 		assert.isTrue(parts.storedParts.isKnown(':1 top'));
 		assert.deepEqual(parts.presence.recentlyEnded(1000), [['e1', 100]]);
-		const {running, pendingTokens} = parts.endpointLoads.load(endpoint('e2', 200));
+		const {running, pendingTokens} = parts.loadTracker.load(endpoint('e2', 200));
 		assert.deepEqual([running, pendingTokens], [3, 4000]);
 	});
 });
@@ -139,7 +139,7 @@
 
 	it('holds a reported load for three refresh intervals, and a planned change for the duration of a lease', () => {
 		const ttlMs = 3 * parts.peers.refreshMs();
-		parts.endpointLoads.applyPeerReport(reportOf('vm-2', {loads: [['e1', 3, 4000, 9000, 0]]}));
+		parts.loadTracker.applyPeerReport(reportOf('vm-2', {loads: [['e1', 3, 4000, 9000, 0]]}));
 		parts.versions.planned('e1', 2, 5000);
 		const dueInMs = () => parts.versions.of(endpoint('e1', 100), 'm').dueInMs;
 		clock.tick(parts.timings.leaseMs);
@@ -147,9 +147,9 @@
 		clock.tick(1);
 		assert.equal(dueInMs(), Number.POSITIVE_INFINITY);
 		clock.tick(ttlMs - 1 - parts.timings.leaseMs);
-		assert.equal(parts.endpointLoads.load(endpoint('e1', 100)).running, 3);
+		assert.equal(parts.loadTracker.load(endpoint('e1', 100)).running, 3);
 		clock.tick(1);
-		assert.equal(parts.endpointLoads.load(endpoint('e1', 100)).running, 0);
+		assert.equal(parts.loadTracker.load(endpoint('e1', 100)).running, 0);
 	});
 
 	it('chooses among a sample of engines if most peers learn of its prompts late', () => {
--- a/packages/router/src/lib/fleet/change-feed.ts
+++ b/packages/router/src/lib/fleet/change-feed.ts
@@ -20,7 +20,7 @@
 	/** Time after a response or a relay for which the table counts as current without a poll. */
 	freshMs: number;
 	/** Time that a relay may take longer than a hint of the same change. */
-	relayMs: number;
+	relayDelayMs: number;
 	/** Relays a response of the store to peers. */
 	relay: (relay: FeedRelay) => void;
 };
@@ -37,7 +37,7 @@
 	 * Timeout on top of `waitMs`, since a dead connection shows no other sign. The sum bounds
 	 * how late a change is seen.
 	 */
-	answerMs: number;
+	timeoutMs: number;
 	/**
 	 * Pause after a response with changes and before a hint is followed, to coalesce bursts of
 	 * updates into one call.
@@ -78,7 +78,7 @@
 		// Without sharing, no peer polls for this daemon.
 	},
 	freshMs: 0,
-	relayMs: 0,
+	relayDelayMs: 0,
 	relay() {
 		// Without sharing, no peer relies on this daemon.
 	},
@@ -86,7 +86,7 @@
 
 /** Follows a table until closed. */
 export function followChanges<T>(options: ChangeFeedOptions<T>): ChangeFeed {
-	const {source, handler, log, answerMs} = options;
+	const {source, handler, log, timeoutMs: answerMs} = options;
 	const sharing = options.sharing ?? unshared;
 	const relayLog = createRelayLog();
 	let version: number | undefined;
@@ -283,7 +283,7 @@
 		const {since, version: upTo, rows, isPrompt} = relay;
 		if (version! < since) {
 			earlyRelay = relay;
-			schedulePoll(sharing.relayMs, () => version! < since);
+			schedulePoll(sharing.relayDelayMs, () => version! < since);
 			return;
 		}
 
@@ -301,7 +301,7 @@
 		ageMs: () => performance.now() - respondedAt,
 		newestChange: () => newestChange,
 		hint(known) {
-			schedulePoll(options.coalesceMs + sharing.relayMs, () => known > Math.max(version!, newestChange));
+			schedulePoll(options.coalesceMs + sharing.relayDelayMs, () => known > Math.max(version!, newestChange));
 		},
 		relayed(daemon, relay) {
 			sharing.relayed(daemon);
--- a/packages/router/src/lib/forwarding/send-to-endpoint.ts
+++ b/packages/router/src/lib/forwarding/send-to-endpoint.ts
@@ -17,7 +17,7 @@
 export type EndpointSenderOptions = {
 	headers: CallHeaders;
 	choice: EndpointChoice;
-	book: EndpointLoadTracker;
+	loadTracker: EndpointLoadTracker;
 	health: HealthTracker;
 	presence: EndpointPresence;
 	versions: EngineVersions;
@@ -46,7 +46,7 @@
 /** Creates a sender. */
 export function createEndpointSender(options: EndpointSenderOptions): SendToEndpoint {
 	const {
-		headers, choice, book, health, presence, versions, transport, crashWatch, limits,
+		headers, choice, loadTracker: book, health, presence, versions, transport, crashWatch, limits,
 	} = options;
 
 	const dispatchFor = (call: Call, {endpoint, weights, cacheScope, fetchFrom, saveTo}: Choice): Dispatch => ({
--- a/packages/router/src/lib/placing/candidates.ts
+++ b/packages/router/src/lib/placing/candidates.ts
@@ -11,7 +11,7 @@
 /** Options of {@link createCandidates}; durations in milliseconds. */
 export type CandidatesOptions = {
 	view: FleetView;
-	book: EndpointLoadTracker;
+	loadTracker: EndpointLoadTracker;
 	health: HealthTracker;
 	presence: EndpointPresence;
 	versions: EngineVersions;
@@ -50,12 +50,12 @@
 /** Creates a look-up of candidates. Doubtful endpoints are returned only when there are no others. */
 export function createCandidates(options: CandidatesOptions): (request: ChoiceRequest) => Candidate[] {
 	const {
-		view, book: loadTracker, health, presence, versions, limits,
+		view, loadTracker, health, presence, versions, limits,
 	} = options;
 
 	/** Expected wait in the engine's queue; at least as long as the oldest own request has waited. */
 	const queueMs = ({id, slots}: LiveEndpoint, load: EndpointLoad): number =>
-		Math.max(load.oldestWaitMs, load.pendingTokens * loadTracker.msPerToken(id), load.running >= slots ? load.lastsMs : 0);
+		Math.max(load.oldestWaitMs, load.pendingTokens * loadTracker.msPerToken(id), load.running >= slots ? load.remainingMs : 0);
 
 	/**
 	 * Whether the weights will still be fresh enough when the request begins after `waitMs`.
--- a/packages/router/src/lib/placing/endpoint-choice.ts
+++ b/packages/router/src/lib/placing/endpoint-choice.ts
@@ -38,9 +38,9 @@
 /** Options of {@link createEndpointChoice}. */
 export type EndpointChoiceOptions = CandidatesOptions & SamplerOptions & {
 	/** Contents of the cache store. */
-	kept: StoredParts;
+	storedParts: StoredParts;
 	/** Contents of the engines' memory. */
-	resident: ResidentParts;
+	residentParts: ResidentParts;
 	dataCentre: string;
 };
 
@@ -70,7 +70,7 @@
 
 /** Creates an endpoint choice without placements. */
 export function createEndpointChoice(options: EndpointChoiceOptions): EndpointChoice {
-	const {view, book: loadTracker, kept: storedParts, resident: residentParts} = options;
+	const {view, loadTracker, storedParts, residentParts} = options;
 	const candidatesOf = createCandidates(options);
 	const costEstimatorFor = createPromptCostEstimator(options);
 	const homeOf = createHomeFinder();
--- a/packages/router/src/lib/placing/endpoint-limits.ts
+++ b/packages/router/src/lib/placing/endpoint-limits.ts
@@ -18,7 +18,7 @@
 	/** Whether the endpoint is listed with this process start time. */
 	isListed: (id: string, startedAt: number) => boolean;
 	/** Called when a limit changes enough to notify peers at once. */
-	onNews: () => void;
+	onUpdate: () => void;
 	log: Log;
 };
 
@@ -164,7 +164,7 @@
 			const known = limits.get(id);
 			const shouldRecord = perSecond !== undefined || (known?.startedAt === startedAt && known.perSecond !== undefined);
 			if (shouldRecord && setLimit(id, startedAt, {perSecond, namedAt: performance.now()})) {
-				options.onNews();
+				options.onUpdate();
 			}
 		},
 		applyPeerReport(news) {
--- a/packages/router/src/lib/placing/endpoint-load-tracker.ts
+++ b/packages/router/src/lib/placing/endpoint-load-tracker.ts
@@ -17,7 +17,7 @@
 	/** Milliseconds for which the oldest request of this daemon has waited for its first event. */
 	oldestWaitMs: number;
 	/** Milliseconds until the last request in flight is expected to end. */
-	lastsMs: number;
+	remainingMs: number;
 };
 
 /** A request in flight. */
@@ -135,12 +135,12 @@
 
 	const ownLoad = (entry: Entry, now: number): EndpointLoad => {
 		const load: EndpointLoad = {
-			running: 0, pendingTokens: 0, memoryTokens: 0, oldestWaitMs: 0, lastsMs: 0,
+			running: 0, pendingTokens: 0, memoryTokens: 0, oldestWaitMs: 0, remainingMs: 0,
 		};
 		for (const work of entry.open) {
 			load.running++;
 			load.memoryTokens += work.size.memoryTokens;
-			load.lastsMs = Math.max(load.lastsMs, (work.begunAt ?? now) + (work.size.outputTokens * runMsPerToken) - now);
+			load.remainingMs = Math.max(load.remainingMs, (work.begunAt ?? now) + (work.size.outputTokens * runMsPerToken) - now);
 			if (work.begunAt === undefined) {
 				load.pendingTokens += work.size.missingTokens;
 				load.oldestWaitMs = Math.max(load.oldestWaitMs, now - work.startedAt);
@@ -202,7 +202,7 @@
 				pendingTokens: load.pendingTokens + others.pendingTokens,
 				memoryTokens: load.memoryTokens + others.memoryTokens,
 				oldestWaitMs: load.oldestWaitMs,
-				lastsMs: Math.max(load.lastsMs, others.endsAt - now),
+				remainingMs: Math.max(load.remainingMs, others.endsAt - now),
 			};
 		},
 		ownRunning: id => entries.get(id)?.open.size ?? 0,
@@ -260,7 +260,7 @@
 			const loads: PeerReport['loads'] = [];
 			for (const [id, entry] of entries) {
 				if (entry.open.size > 0) {
-					const {running, pendingTokens, memoryTokens, lastsMs} = ownLoad(entry, now);
+					const {running, pendingTokens, memoryTokens, remainingMs: lastsMs} = ownLoad(entry, now);
 					loads.push([id, running, Math.round(pendingTokens), Math.round(memoryTokens), Math.round(lastsMs)]);
 				}
 			}
--- a/packages/router/src/lib/placing/prompt-cost.ts
+++ b/packages/router/src/lib/placing/prompt-cost.ts
@@ -20,14 +20,14 @@
 /** Options of {@link createPromptCostEstimator}. */
 export type PromptCostOptions = {
 	view: FleetView;
-	book: EndpointLoadTracker;
+	loadTracker: EndpointLoadTracker;
 	health: HealthTracker;
 	presence: EndpointPresence;
 	versions: EngineVersions;
 	/** Contents of the cache store. */
-	kept: StoredParts;
+	storedParts: StoredParts;
 	/** Contents of the engines' memory. */
-	resident: ResidentParts;
+	residentParts: ResidentParts;
 	dataCentre: string;
 };
 
@@ -66,7 +66,7 @@
 
 /** Creates an estimator. It is called once per request, and its result once per candidate. */
 export function createPromptCostEstimator(options: PromptCostOptions): (request: ChoiceRequest, prompt: PromptNeed) => (candidate: Candidate) => PromptCost {
-	const {view, book: loadTracker, health, presence, versions, kept: storedParts, resident: residentParts} = options;
+	const {view, loadTracker, health, presence, versions, storedParts, residentParts} = options;
 	const homeOf = createHomeFinder();
 
 	const nearestStore = (): CacheStore | undefined => {
--- a/packages/router/src/lib/quarantine/quarantine.ts
+++ b/packages/router/src/lib/quarantine/quarantine.ts
@@ -45,7 +45,7 @@
 	/** Maximum number of refusals; the least recently used are evicted first. Default 1,024. */
 	maxRefusals?: number;
 	/** Called when peers must get a new report soon. */
-	onNews: () => void;
+	onUpdate: () => void;
 	log: Log;
 };
 
@@ -59,7 +59,7 @@
 	/** Records that a request completed. */
 	markCompleted: (digest: string) => void;
 	/** Processes a peer's report. */
-	heard: (peer: string, report: QuarantineReport) => void;
+	applyPeerReport: (peer: string, report: QuarantineReport) => void;
 	/** Merges refusals from the store. */
 	restore: (refusals: readonly Refusal[]) => void;
 	/** This daemon's report. */
@@ -96,7 +96,7 @@
 /** Creates an empty quarantine. */
 export function createQuarantine(options: QuarantineOptions): Quarantine {
 	const {
-		name, store, onNews, log, firstTermMs = defaultFirstTermMs, maxTermMs = defaultMaxTermMs,
+		name, store, onUpdate: onNews, log, firstTermMs = defaultFirstTermMs, maxTermMs = defaultMaxTermMs,
 	} = options;
 	const listeners: Array<(digest: string) => void> = [];
 	const entries = new LRUCache<string, Entry>({
@@ -270,7 +270,7 @@
 				onNews();
 			}
 		},
-		heard(peer, report) {
+		applyPeerReport(peer, report) {
 			for (const digest of report.completed) {
 				evidence.markCompleted(digest);
 			}
--- a/packages/router/src/lib/quotas/fleet-quota.ts
+++ b/packages/router/src/lib/quotas/fleet-quota.ts
@@ -47,9 +47,9 @@
 	/** Requests units for one request. */
 	admit: (workspace: Workspace, units: number) => Admission;
 	/** Processes a peer's report. */
-	heard: (report: PeerReport) => void;
+	applyPeerReport: (report: PeerReport) => void;
 	/** Forgets a peer that has stopped and admits nothing any more. */
-	left: (daemon: string) => void;
+	removePeer: (daemon: string) => void;
 	/** This daemon's use of workspaces, for its report. */
 	report: () => PeerReport['usage'];
 };
@@ -212,7 +212,7 @@
 				},
 			};
 		},
-		heard(report) {
+		applyPeerReport(report) {
 			const reportedWorkspaces = new Set<string>();
 			for (const use of report.usage) {
 				const [name] = use;
@@ -233,7 +233,7 @@
 
 			incarnations.set(report.daemon, report.incarnation);
 		},
-		left(daemon) {
+		removePeer(daemon) {
 			incarnations.delete(daemon);
 			for (const {peers} of [...buckets.values(), ...remoteUses.values()]) {
 				peers.delete(daemon);
--- a/packages/router/src/test/fleet/change-feed.test.ts
+++ b/packages/router/src/test/fleet/change-feed.test.ts
@@ -46,7 +46,7 @@
 			},
 		},
 		waitMs: () => 800,
-		answerMs: 400,
+		timeoutMs: 400,
 		coalesceMs: restMs,
 		log: createSilentLog(),
 	});
--- a/packages/router/src/test/fleet/shared-feed.test.ts
+++ b/packages/router/src/test/fleet/shared-feed.test.ts
@@ -161,14 +161,14 @@
 				},
 			},
 			waitMs: () => waitMs,
-			answerMs,
+			timeoutMs: answerMs,
 			coalesceMs: 0,
 			sharing: {
 				readerInMs: readers.dueInMs,
 				isFirstChoice: readers.isFirstChoice,
 				relayed: readers.relayed,
 				freshMs: trustMs,
-				relayMs,
+				relayDelayMs: relayMs,
 				relay(relay) {
 					send(name, relay);
 				},
--- a/packages/router/src/test/placing/endpoint-choice.test.ts
+++ b/packages/router/src/test/placing/endpoint-choice.test.ts
@@ -7,7 +7,8 @@
 } from '../../fleet.js';
 import {createSilentLog} from '../../observability.js';
 import {
-	createEndpointLoadTracker, createEndpointChoice, createStoredParts, createResidentParts, type ChoiceRequest, type EndpointLoadTracker, type EndpointChoice, type EndpointLimits, type StoredParts, type PromptNeed,
+	createEndpointLoadTracker, createEndpointChoice, createStoredParts, createResidentParts,
+	type ChoiceRequest, type EndpointLoadTracker, type EndpointChoice, type EndpointLimits, type StoredParts, type PromptNeed,
 } from '../../placing.js';
 import {createHealthTracker} from '../../routing.js';
 import {createEngineVersions, type EngineVersions} from '../../weights.js';
@@ -66,7 +67,7 @@
 		limits = createLoneLimits();
 		const random = xoroshiro128plus(1);
 		choice = createEndpointChoice({
-			view, book, health: createHealthTracker(), presence, versions, limits, kept, resident: createResidentParts({memoryTokens: view.memoryTokens}),
+			view, loadTracker: book, health: createHealthTracker(), presence, versions, limits, storedParts: kept, residentParts: createResidentParts({memoryTokens: view.memoryTokens}),
 			dataCentre: 'a', connectionShare: () => 0.1, weightsMs: 8000, daemons: () => 10, random: () => uniformFloat64(random),
 		});
 		for (let index = 0; index < 8; index++) {
--- a/packages/router/src/test/placing/endpoint-limits.test.ts
+++ b/packages/router/src/test/placing/endpoint-limits.test.ts
@@ -28,7 +28,7 @@
 		name,
 		peers: () => peers.filter(peer => peer !== name),
 		isListed: (id, startedAt) => listed.has(`${id} ${startedAt}`),
-		onNews() {
+		onUpdate() {
 			notifications++;
 		},
 		log: createSilentLog(),
--- a/packages/router/src/test/placing/endpoint-load-tracker.test.ts
+++ b/packages/router/src/test/placing/endpoint-load-tracker.test.ts
@@ -52,15 +52,15 @@
 
 			assert.approximately(book.runMs(400), 2000, 50);
 			const work = book.start('e1', {missingTokens: 0, memoryTokens: 0, outputTokens: 400});
-			assert.approximately(book.load(endpoint).lastsMs, 2000, 50);
+			assert.approximately(book.load(endpoint).remainingMs, 2000, 50);
 			work.begun();
 			clock.tick(1500);
-			assert.approximately(book.load(endpoint).lastsMs, 500, 50);
+			assert.approximately(book.load(endpoint).remainingMs, 500, 50);
 			book.applyPeerReport(reportOf('vm-2', {number: 1, loads: [['e1', 1, 0, 900, 900]]}));
 			clock.tick(100);
-			assert.approximately(book.load(endpoint).lastsMs, 800, 1);
+			assert.approximately(book.load(endpoint).remainingMs, 800, 1);
 			work.ended(true);
-			assert.approximately(book.load(endpoint).lastsMs, 800, 1);
+			assert.approximately(book.load(endpoint).remainingMs, 800, 1);
 		} finally {
 			clock.uninstall();
 		}
@@ -79,7 +79,7 @@
 			};
 
 			const sums = () => {
-				const {running, pendingTokens, memoryTokens, lastsMs} = book.load(endpoint);
+				const {running, pendingTokens, memoryTokens, remainingMs: lastsMs} = book.load(endpoint);
 				return [running, pendingTokens, memoryTokens, lastsMs];
 			};
 
--- a/packages/router/src/test/placing/limited-fleet.test.ts
+++ b/packages/router/src/test/placing/limited-fleet.test.ts
@@ -66,7 +66,7 @@
 				name: nameOf(index),
 				peers: () => exchange.live().map(({report}) => report.daemon),
 				isListed: () => true,
-				onNews() {
+				onUpdate() {
 					exchange.sendSoonTo('all');
 				},
 				log: createSilentLog(),
--- a/packages/router/src/test/placing/rolling-update.test.ts
+++ b/packages/router/src/test/placing/rolling-update.test.ts
@@ -153,7 +153,7 @@
 	const kept = createStoredParts();
 	const resident = createResidentParts({memoryTokens: view.memoryTokens});
 	const choice = createEndpointChoice({
-		view, book, health: createHealthTracker(), presence: createEndpointPresence(createSilentLog()), versions, limits: createLoneLimits(), kept, resident,
+		view, loadTracker: book, health: createHealthTracker(), presence: createEndpointPresence(createSilentLog()), versions, limits: createLoneLimits(), storedParts: kept, residentParts: resident,
 		dataCentre: 'a', connectionShare: () => 1 / daemonCount, weightsMs: 10_000, daemons: () => daemonCount, random,
 	});
 	return {
--- a/packages/router/src/test/quarantine/fleet-refusal.test.ts
+++ b/packages/router/src/test/quarantine/fleet-refusal.test.ts
@@ -39,7 +39,7 @@
 			const quarantine = createQuarantine({
 				name: nameOf(index),
 				store: {save: () => undefined, claim: async () => false, remove: () => undefined},
-				onNews() {
+				onUpdate() {
 					exchange.sendSoonTo('all');
 				},
 				log: createSilentLog(),
@@ -48,7 +48,7 @@
 				index,
 				contents: quarantine.report,
 				onReport(report) {
-					quarantine.heard(report.daemon, report);
+					quarantine.applyPeerReport(report.daemon, report);
 				},
 			});
 			return quarantine;
--- a/packages/router/src/test/quarantine/quarantine.test.ts
+++ b/packages/router/src/test/quarantine/quarantine.test.ts
@@ -51,7 +51,7 @@
 			},
 		},
 		maxRefusals,
-		onNews: () => undefined,
+		onUpdate: () => undefined,
 		log,
 	});
 
@@ -70,7 +70,7 @@
 	};
 
 	const sendReport = (from: Quarantine, to: Quarantine): void => {
-		to.heard('peer', from.report());
+		to.applyPeerReport('peer', from.report());
 	};
 
 	it('refuses a request on all daemons when three of them each observed a crash', () => {
@@ -114,8 +114,8 @@
 		assert.isTrue(await a.claim('mended'));
 		a.markCompleted('mended');
 		sendReport(a, b);
-		a.heard('late', late);
-		b.heard('late', late);
+		a.applyPeerReport('late', late);
+		b.applyPeerReport('late', late);
 		assert.deepEqual([a.standingOf('mended'), b.standingOf('mended')], ['clear', 'clear']);
 	});
 
--- a/packages/router/src/test/quotas/fleet-quota.test.ts
+++ b/packages/router/src/test/quotas/fleet-quota.test.ts
@@ -81,7 +81,7 @@
 				const sentReport = report(`d${from}`, quota, at);
 				for (const [to, other] of quotas.entries()) {
 					if (to !== from && !isCut(from, at) && !isCut(to, at)) {
-						other.heard(sentReport);
+						other.applyPeerReport(sentReport);
 					}
 				}
 			}
@@ -140,7 +140,7 @@
 		});
 		const limits = workspace(29_000);
 		quota.admit(limits, 5000);
-		quota.heard({...report('vm-2', quota, 1), usage: [['school', 20_000, 90_000, 4000]]});
+		quota.applyPeerReport({...report('vm-2', quota, 1), usage: [['school', 20_000, 90_000, 4000]]});
 		assert.isTrue(quota.admit(limits, 200).granted);
 		assert.isFalse(quota.admit(limits, 9000).granted);
 		assert.isTrue(quota.admit(limits, 200).granted);
@@ -155,12 +155,12 @@
 		const level = (): number => quota.report()[0][3];
 		const usage = (admitted: number): PeerReport => ({...report('vm-2', quota, 1), usage: [['school', admitted, 100, 50_000]]});
 		quota.admit(limits, 1000);
-		quota.heard(usage(1_000_000));
+		quota.applyPeerReport(usage(1_000_000));
 		clock.tick(18_000);
-		quota.heard(usage(1_001_800));
+		quota.applyPeerReport(usage(1_001_800));
 		assert.isAtLeast(level(), 100_000 - (100 * windowMs / 1000));
 		clock.tick(1000);
-		quota.heard(usage(1_003_800));
+		quota.applyPeerReport(usage(1_003_800));
 		assert.isAtLeast(level(), 97_000);
 	});
 
@@ -175,14 +175,14 @@
 		const level = (): number => quota.report()[0][3];
 		quota.admit(limits, 90_000);
 		const usage = (admitted: number): PeerReport => ({...report('vm-2', quota, 1), usage: [['school', admitted, 1000, 10_000]]});
-		quota.heard(usage(0));
+		quota.applyPeerReport(usage(0));
 		assert.equal(level(), 10_000);
 		clock.tick(5000);
 		assert.equal(level(), 15_000);
 		// The peer may use the whole rate, so nothing is left of the refill.
 		clock.tick(1000);
 		assert.equal(level(), 15_000);
-		quota.heard(usage(0));
+		quota.applyPeerReport(usage(0));
 		assert.equal(level(), 16_000);
 		silenceMs = 1000;
 		clock.tick(2000);
--- a/packages/router/src/test/quotas/large-fleet-quota.test.ts
+++ b/packages/router/src/test/quotas/large-fleet-quota.test.ts
@@ -110,7 +110,7 @@
 
 				for (const to of receivers) {
 					if (to !== from) {
-						quotas[to].heard(sentReport);
+						quotas[to].applyPeerReport(sentReport);
 					}
 				}
 			}
--- a/packages/router/src/test/weights/change-under-load.test.ts
+++ b/packages/router/src/test/weights/change-under-load.test.ts
@@ -71,12 +71,12 @@
 		const presence = createEndpointPresence(createSilentLog());
 		const versions = createEngineVersions();
 		const choice = createEndpointChoice({
-			view, book, health: createHealthTracker(), presence, versions, limits: createLoneLimits(), kept: createStoredParts(), resident: createResidentParts({memoryTokens: view.memoryTokens}),
+			view, loadTracker: book, health: createHealthTracker(), presence, versions, limits: createLoneLimits(), storedParts: createStoredParts(), residentParts: createResidentParts({memoryTokens: view.memoryTokens}),
 			dataCentre: 'a', connectionShare: () => 1, weightsMs: 12_000, daemons: () => 1, random: () => uniformFloat64(random),
 		});
 		const rollout = createWeightsRollout({
 			name: 'vm-1', view, presence, versions, control, held: () => ({duty: 'weights', fencing: 1, msLeft: 1000}), handoverMs: 3200, announce: () => undefined, weightsMs: 12_000,
-			remainingMs: id => book.load(view.endpoint(id)!).lastsMs, log: createSilentLog(),
+			remainingMs: id => book.load(view.endpoint(id)!).remainingMs, log: createSilentLog(),
 		});
 		const outcome: Outcome = {
 			downtimesMs: [], refused: 0, requests: 0, doneMs: 0,
