--- a/packages/router/src/leases.ts
+++ b/packages/router/src/leases.ts
@@ -1,3 +1,3 @@
-/** Duties spread over daemons by leases with fencing numbers. */
+/** Assigns duties to daemons by leases with fencing tokens. */
 export * from './lib/leases/lease-errors.js';
 export * from './lib/leases/lease-holder.js';
--- a/packages/router/src/lib/leases/lease-holder.ts
+++ b/packages/router/src/lib/leases/lease-holder.ts
@@ -1,16 +1,16 @@
 /**
- * Spreads duties (rollouts, compaction and the like) over daemons by leases in
- * the table; no daemon is special.
+ * Distributes duties (rollouts, compaction and the like) over daemons by leases in
+ * the table; no daemon has a special role.
  *
- * The holder counts its lease from before the write that renewed it was sent,
- * and stops a margin early; a contender counts from after it read the row, and
- * waits a margin more. Both use their own monotonic clock only. So a holder
- * that was paused, or cut off from the table, finds out before it acts that it
- * must not, and the fencing number in each order voids what is late all the
- * same.
+ * The holder counts its lease from before it sent the write that renewed it, and
+ * stops a margin early; a contender counts from after it read the row, and waits
+ * an extra margin. Both use only their own monotonic clock. A holder that was
+ * paused or cut off from the table thus notices before it acts that its lease has
+ * ended. Should it act late all the same, the fencing token in each order
+ * invalidates the order.
  */
 import {type TableClient, type TableRow} from '../platform/platform.js';
-import {placeOf} from '../routing/rendezvous.js';
+import {positionOf} from '../routing/rendezvous.js';
 import {LeaseTableError} from './lease-errors.js';
 import {
 	dutyOf, leaseKey, leasePrefix, type LeaseRow, parseLeaseRow,
@@ -20,96 +20,97 @@
 export type LeaseHolderOptions = {
 	/** Name of this daemon. */
 	name: string;
-	/** Process of this daemon; grows with each start. */
+	/** Incarnation of this daemon's process; increases with each start. */
 	incarnation: bigint;
 	table: TableClient;
-	/** Names of all daemons that could hold duties, this one included: decides who tries first. */
+	/** Names of all daemons that could hold duties, including this one; decides who tries first. */
 	candidates?: () => string[];
-	/** Whether a process is known to have ended, so that its lease need not be waited for. */
+	/** Whether a process is known to have ended, so that the end of its lease need not be awaited. */
 	hasEnded?: (name: string, incarnation: bigint) => boolean;
 	/**
-	 * What a holder last said of its lease, where it could be heard: a lease that
-	 * it has not written to since ends when it said so, without the wait for one
-	 * that may have been renewed a moment ago.
+	 * Latest report of a holder on its lease, if one was received. If the holder has
+	 * not written the row since, its lease ends at the reported time. Without a report
+	 * a contender has to wait for a whole lease, which might have been renewed just
+	 * before.
 	 */
-	lastWord?: (holder: string, incarnation: bigint) => LeaseWord | undefined;
-	/** Whether another daemon was just heard to hold a duty; the rows need not be read then. */
+	lastWord?: (holder: string, incarnation: bigint) => LeaseReport | undefined;
+	/** Whether another daemon has recently reported that it holds a duty; the rows are not read then. */
 	isHeldElsewhere?: (duty: string) => boolean;
 	/**
-	 * Called before each attempt to take or renew a lease, so that peers hear of it
-	 * first. A holder that is suspended while the answer to its renewal is on the
-	 * way has written an attempt that nobody knows; its peers would have to watch
-	 * the row for a whole lease in place of what is left of it.
+	 * Called before each attempt to acquire or renew a lease, so that peers learn of
+	 * the attempt first. Otherwise, if the holder is suspended before it receives
+	 * the response to a renewal, the row contains an attempt that no peer knows of,
+	 * and peers have to wait for a whole lease instead of its remaining time.
 	 */
 	onAttempt?: () => void;
-	/** Text that a holder stores with its lease for its successors. */
+	/** Returns a text that the holder stores with its lease for its successors. */
 	note?: (duty: string) => string | undefined;
-	/** Called with the note of another process whenever its row is read. */
+	/** Called with the note of another process whenever that process's row is read. */
 	onNote?: (duty: string, note: string) => void;
-	/** Told of table faults; the work is tried again by itself. */
+	/** Called on table errors; the operation is retried at the next tick. */
 	onError?: (error: unknown) => void;
-	/** Milliseconds for which a lease lasts; 30,000 by default, the same on every daemon. */
+	/** Duration of a lease in milliseconds; 30,000 by default, the same on every daemon. */
 	leaseMs?: number;
 	/** Milliseconds by which a holder stops early and a contender waits longer; 5,000 by default. */
 	marginMs?: number;
 };
 
-/** A duty that this process holds now. */
+/** A duty that this process currently holds. */
 export type HeldLease = {
 	duty: string;
-	/** Goes with every order, so that an endpoint can refuse an older holder's. */
+	/** Fencing token; sent with every order, so that an endpoint can refuse orders of an earlier holder. */
 	fencing: number;
 	/** Milliseconds for which the holder may still act. */
 	msLeft: number;
 };
 
-/** What a process says of a lease that it holds or has held. */
-export type LeaseWord = {
-	/** Number of its latest attempt to write the lease's row, answered or not. */
+/** A process's report on a lease that it holds or has held. */
+export type LeaseReport = {
+	/** Number of its latest attempt to write the lease's row, whether or not it got a response. */
 	attempt: number;
-	/** `performance.now()` at which this was heard. */
+	/** `performance.now()` at which the report was received. */
 	heardAt: number;
-	/** Milliseconds from then on for which any of these attempts may let it act; 0 when it may not act any more. */
+	/** Milliseconds after `heardAt` for which any of these attempts may let the process act; 0 when it may no longer act. */
 	msLeft: number;
 };
 
-/** The holder of one daemon. */
+/** Acquires and renews the leases of one daemon. */
 export type LeaseHolder = {
 	/**
-	 * What this process may say of a lease to others: its latest attempt to write
-	 * the row, and the milliseconds for which that or an earlier one may let it act.
+	 * Report for peers on a lease of this process: its latest attempt to write the
+	 * row, and the milliseconds for which that or an earlier attempt may let it act.
 	 */
 	word: (duty: string) => {attempt: number; msLeft: number} | undefined;
-	/** Takes part in the contest for a duty from now on. */
+	/** Starts to contend for a duty. */
 	contend: (duty: string) => void;
-	/** The lease, looked up on the clock anew: ask right before each act. */
+	/** The lease if it is still valid, checked against the clock: call this right before each act. */
 	held: (duty: string) => HeldLease | undefined;
-	/** One round of reading, taking and renewing; never rejects. */
+	/** Runs one round of reading, acquiring and renewing leases; never rejects. */
 	tick: () => Promise<void>;
-	/** Calls `tick` three times in each lease. */
+	/** Calls `tick` now and then three times per lease duration. */
 	start: () => Promise<void>;
-	/** Gives all duties up, for a graceful stop. */
+	/** Releases all duties, for a graceful stop. */
 	release: () => Promise<void>;
-	/** Stops the timer; leases end by themselves. */
+	/** Stops the timer; leases expire by themselves. */
 	close: () => void;
 };
 
-type Watched = {row: LeaseRow; version: number; unchangedSince: number};
+type ObservedRow = {row: LeaseRow; version: number; unchangedSince: number};
 type Held = {fencing: number; end: number; clockOffset: number};
 
 const defaultLeaseMs = 30_000;
 const defaultMarginMs = 5000;
 const roundsPerLease = 3;
-/** Time by which a contender waits beyond a holder's word, in milliseconds: datagrams take far less. */
-const wordMarginMs = 250;
+/** Milliseconds that a contender waits after the reported end of a lease; datagrams arrive much faster than this. */
+const reportMarginMs = 250;
 /**
- * A machine may be suspended without its monotonic clock moving, so that a
- * holder wakes with a lease that looks good and has long been another's. The
- * time of day does move; a difference above this, in milliseconds, drops the
- * lease until the next renewal. A time of day that is set anew looks the same
- * and costs one round.
+ * A machine may be suspended while its monotonic clock stands still: when it
+ * resumes, its lease looks valid although another daemon has long acquired it.
+ * The wall clock does advance. If the two clocks drift apart by more than this, in
+ * milliseconds, the lease counts as lost until the next renewal. Setting the wall
+ * clock has the same effect and costs one round.
  */
-const mostClockDriftMs = 150;
+const maxClockDriftMs = 150;
 
 /**
  * Creates the holder of one daemon.
@@ -129,10 +130,10 @@
 	const leaseMs = options.leaseMs ?? defaultLeaseMs;
 	const marginMs = options.marginMs ?? defaultMarginMs;
 	const duties = new Set<string>();
-	const watched = new Map<string, Watched>();
+	const observed = new Map<string, ObservedRow>();
 	const held = new Map<string, Held>();
 	const vacantRounds = new Map<string, number>();
-	// A number is never used twice, so a row tells which attempt wrote it.
+	// A number is never used twice, so that a row identifies the attempt that wrote it.
 	let attempt = 0;
 	const attempts = new Map<string, {attempt: number; end: number}>();
 	let readAt = Number.NEGATIVE_INFINITY;
@@ -141,7 +142,7 @@
 	let timer: NodeJS.Timeout | undefined;
 
 	const msLeftOf = (lease: Held | undefined): number => {
-		if (lease === undefined || Math.abs(Date.now() - performance.now() - lease.clockOffset) > mostClockDriftMs) {
+		if (lease === undefined || Math.abs(Date.now() - performance.now() - lease.clockOffset) > maxClockDriftMs) {
 			return 0;
 		}
 
@@ -150,10 +151,10 @@
 
 	const isOurs = (row: LeaseRow) => row.holder === name && row.incarnation === incarnation;
 
-	function watch(duty: string, found: TableRow): LeaseRow {
+	function observe(duty: string, found: TableRow): LeaseRow {
 		const row = parseLeaseRow(found);
-		if (watched.get(duty)?.version !== found.version) {
-			watched.set(duty, {row, version: found.version, unchangedSince: performance.now()});
+		if (observed.get(duty)?.version !== found.version) {
+			observed.set(duty, {row, version: found.version, unchangedSince: performance.now()});
 		}
 
 		if (!isOurs(row)) {
@@ -167,7 +168,7 @@
 	}
 
 	function isVacant(duty: string): boolean {
-		const known = watched.get(duty);
+		const known = observed.get(duty);
 		if (!known || known.row.holder === '') {
 			return true;
 		}
@@ -176,8 +177,8 @@
 			return !held.has(duty);
 		}
 
-		const word = options.lastWord?.(known.row.holder, BigInt(known.row.incarnation));
-		if (word !== undefined && known.row.attempt <= word.attempt && hasEndedBy(word)) {
+		const report = options.lastWord?.(known.row.holder, BigInt(known.row.incarnation));
+		if (report !== undefined && known.row.attempt <= report.attempt && hasEndedByReport(report)) {
 			return true;
 		}
 
@@ -185,38 +186,38 @@
 			|| performance.now() >= known.unchangedSince + leaseMs + marginMs;
 	}
 
-	/** Daemons that rank before this one get a round each, so duties spread. */
+	/** Each daemon that ranks before this one gets one round to acquire the duty first, so that duties spread over daemons. */
 	function isOurTurn(duty: string): boolean {
 		const rounds = vacantRounds.get(duty) ?? 0;
 		vacantRounds.set(duty, rounds + 1);
-		const place = placeOf(duty, name, options.candidates?.() ?? [name]);
+		const place = positionOf(duty, name, options.candidates?.() ?? [name]);
 		return rounds >= Math.min(place, roundsPerLease);
 	}
 
-	/** Only the first candidates look for a vacancy in each round; the others back them up. */
+	/** Only the first candidates read the rows in each round; the others do so once per lease, as a fallback. */
 	function isLeftToOthers(duty: string): boolean {
-		return placeOf(duty, name, options.candidates?.() ?? [name]) > roundsPerLease && performance.now() - readAt < leaseMs;
+		return positionOf(duty, name, options.candidates?.() ?? [name]) > roundsPerLease && performance.now() - readAt < leaseMs;
 	}
 
-	/** Resolves to whether our own row stands; a lost answer is settled by reading it back. */
-	async function write(duty: string, row: LeaseRow): Promise<boolean> {
+	/** Writes the row and resolves to whether it is in the table. If the response is lost, the row is read back. */
+	async function writeRow(duty: string, row: LeaseRow): Promise<boolean> {
 		const key = leaseKey(duty);
 		try {
-			const result = await table.transact([{key, value: JSON.stringify(row), ifVersion: watched.get(duty)?.version ?? 0}]);
+			const result = await table.transact([{key, value: JSON.stringify(row), ifVersion: observed.get(duty)?.version ?? 0}]);
 			if (result.committed) {
-				watched.set(duty, {row, version: result.versions[key], unchangedSince: performance.now()});
+				observed.set(duty, {row, version: result.versions[key], unchangedSince: performance.now()});
 				return true;
 			}
 		} catch {
-			// It may have taken effect all the same.
+			// The write may have taken effect nevertheless.
 		}
 
 		const found = await table.get(key);
-		const now = found && watch(duty, found);
+		const now = found && observe(duty, found);
 		return now !== undefined && isOurs(now) && now.attempt === row.attempt;
 	}
 
-	async function hold(duty: string, fencing: number): Promise<void> {
+	async function acquireOrRenew(duty: string, fencing: number): Promise<void> {
 		attempt += 1;
 		const end = performance.now() + leaseMs - marginMs;
 		const clockOffset = Date.now() - performance.now();
@@ -225,24 +226,24 @@
 		const row = {
 			holder: name, incarnation, fencing, attempt, note: options.note?.(duty),
 		};
-		if (await write(duty, row) && !released) {
+		if (await writeRow(duty, row) && !released) {
 			held.set(duty, {fencing, end, clockOffset});
 		}
 	}
 
-	async function round(): Promise<void> {
-		// A holder renews by the version that it wrote last; a conflict tells it the rest.
+	async function runRound(): Promise<void> {
+		// A holder renews from the version that it wrote last, without reading; a conflict shows that the row has changed.
 		if (![...duties].every(duty => msLeftOf(held.get(duty)) > 0)) {
 			readAt = performance.now();
 			for (const row of await table.list({prefix: leasePrefix})) {
-				watch(dutyOf(row.key), row);
+				observe(dutyOf(row.key), row);
 			}
 		}
 
 		for (const duty of duties) {
 			const lease = held.get(duty);
 			if (lease && performance.now() < lease.end) {
-				await hold(duty, lease.fencing);
+				await acquireOrRenew(duty, lease.fencing);
 				continue;
 			}
 
@@ -250,7 +251,7 @@
 			if (!isVacant(duty)) {
 				vacantRounds.delete(duty);
 			} else if (isOurTurn(duty)) {
-				await hold(duty, (watched.get(duty)?.row.fencing ?? 0) + 1);
+				await acquireOrRenew(duty, (observed.get(duty)?.row.fencing ?? 0) + 1);
 			}
 		}
 	}
@@ -266,9 +267,9 @@
 
 		busy = true;
 		try {
-			await round();
+			await runRound();
 		} catch (error) {
-			options.onError?.(new LeaseTableError('The leases could not be read or written. They are tried again.', {cause: error}));
+			options.onError?.(new LeaseTableError('The rows of the leases could not be read or written. Retrying at the next tick.', {cause: error}));
 		} finally {
 			busy = false;
 		}
@@ -302,11 +303,11 @@
 				attempt += 1;
 				try {
 					attempts.set(duty, {attempt, end: performance.now()});
-					await write(duty, {
+					await writeRow(duty, {
 						holder: '', incarnation, fencing, attempt, note: options.note?.(duty),
 					});
 				} catch (error) {
-					options.onError?.(new LeaseTableError(`The duty ${duty} could not be given back. It becomes free when its lease ends.`, {cause: error}));
+					options.onError?.(new LeaseTableError(`The lease of duty "${duty}" could not be released. The duty becomes free when the lease expires.`, {cause: error}));
 				}
 			}
 		},
@@ -316,7 +317,7 @@
 	};
 }
 
-/** A holder that says that it may not act any more needs no margin; it says so again and again. */
-function hasEndedBy({heardAt, msLeft}: LeaseWord): boolean {
-	return msLeft === 0 || performance.now() >= heardAt + msLeft + wordMarginMs;
+/** Whether the reported lease has ended. A report of 0 ms needs no margin, since the holder repeats it. */
+function hasEndedByReport({heardAt, msLeft}: LeaseReport): boolean {
+	return msLeft === 0 || performance.now() >= heardAt + msLeft + reportMarginMs;
 }
--- a/packages/router/src/lib/leases/lease-row.ts
+++ b/packages/router/src/lib/leases/lease-row.ts
@@ -1,35 +1,35 @@
-/** The row that says who holds a duty. */
+/** The table row of a duty's lease. */
 import {z} from 'zod';
 import {type TableRow} from '../platform/platform.js';
 
 const prefix = 'leases/';
 
 const leaseSchema = z.object({
-	/** Daemon that holds the duty; empty when it was given back. */
+	/** Daemon that holds the duty; empty when it was released. */
 	holder: z.string(),
-	/** Its process, in decimal. */
+	/** Incarnation of its process, in decimal. */
 	incarnation: z.string(),
-	/** Grows with each change of holder and never starts again: rows are not deleted. */
+	/** Fencing token. Increases with each acquisition and never restarts, because rows are not deleted. */
 	fencing: z.number().int(),
-	/** Number of the write attempt by that process; never used twice. */
+	/** Number of the write attempt of that process; never used twice. */
 	attempt: z.number().int(),
-	/** What the holder leaves to its successors. */
+	/** Text that the holder stores for its successors. */
 	note: z.string().optional(),
 });
 
-/** A parsed row. */
+/** A parsed lease row. */
 export type LeaseRow = z.infer<typeof leaseSchema>;
 
-/** The table's key of a duty. */
+/** The key of a duty's row. */
 export const leaseKey = (duty: string) => prefix + duty;
 
-/** The part of the table that holds all duties. */
+/** Key prefix of all lease rows. */
 export const leasePrefix = prefix;
 
-/** The duty of a key. */
+/** The duty that a key belongs to. */
 export const dutyOf = (key: string) => key.slice(prefix.length);
 
-/** Parses a row. */
+/** Parses a row; throws when its value does not match the schema. */
 export function parseLeaseRow(row: TableRow): LeaseRow {
 	return leaseSchema.parse(JSON.parse(row.value));
 }
--- a/packages/router/src/lib/membership/gossip.ts
+++ b/packages/router/src/lib/membership/gossip.ts
@@ -1,4 +1,4 @@
-/** Tells neighbours what is news, and passes on what they tell. */
+/** Sends heartbeats with changes to neighbours, and forwards the changes that they send. */
 import {clone, create} from '@bufbuild/protobuf';
 import {
 	type Heartbeat, HeartbeatSchema, type MemberState, MemberStateSchema,
@@ -11,7 +11,7 @@
 
 /** Options of {@link createGossip}. */
 export type GossipOptions = {
-	/** This daemon, as it stands in the table. */
+	/** This daemon's entry in the table. */
 	own: KnownMember;
 	table: MemberTable;
 	vms: VmTable;
@@ -19,36 +19,36 @@
 	neighbours: () => Neighbours;
 	/** Milliseconds between heartbeats. */
 	beatMs: number;
-	/** Milliseconds between passing on counters of daemons in other data centres. */
+	/** Minimum milliseconds between forwarding a heartbeat counter from or to another data centre. */
 	farBeatMs: number;
-	/** Told of each member whose state changed. */
+	/** Called for each member whose state changed. */
 	onChange: (known: KnownMember) => void;
-	/** Told when a newer process of this daemon's name is heard of. */
+	/** Called when a newer process with this daemon's name is seen. */
 	onSuperseded: (incarnation: bigint) => void;
 };
 
-/** Whether the whole state of a member is news, or only its counter. */
-export type NewsKind = 'states' | 'beats';
+/** What is forwarded of a member: its whole state, or only its heartbeat counter. */
+export type UpdateKind = 'states' | 'beats';
 
-/** Heartbeats of one daemon. */
+/** Gossip of one daemon. */
 export type Gossip = {
 	receive: (origin: PeerOrigin, heartbeat: Heartbeat) => void;
-	/** Puts news of a member into the outboxes of all but the one it came from. */
-	passOn: (known: KnownMember, kind: NewsKind, from: string) => void;
-	/** The same for a VM. */
-	passOnVm: (name: string, from: string) => void;
-	/** Sends a heartbeat to each neighbour now. */
+	/** Queues an update of a member for all targets but the sender. */
+	forward: (known: KnownMember, kind: UpdateKind, from: string) => void;
+	/** Queues an update of a VM for all targets but the sender. */
+	forwardVm: (name: string, from: string) => void;
+	/** Sends a heartbeat to each target now. */
 	sendAll: () => void;
 	stop: () => void;
 };
 
-/** Milliseconds that news of a change waits for company. */
-const urgentMs = 100;
-/** A daemon that sent a heartbeat counts as a neighbour for so many beats, so that views that differ cut no one off. */
+/** Milliseconds for which a change waits to be sent together with others. */
+const flushDelayMs = 100;
+/** A sender of heartbeats remains a target for this many intervals, so that daemons with different views don't cut each other off. */
 const reciprocalBeats = 5;
-const longestSilence = 0xFF_FF_FF_FF;
+const maxSilentMs = 0xFF_FF_FF_FF;
 
-/** Creates the heartbeats of one daemon. */
+/** Creates the gossip of one daemon. */
 export function createGossip(options: GossipOptions): Gossip {
 	const {own, table, vms, send} = options;
 	const self = own.state;
@@ -67,7 +67,7 @@
 		return outbox;
 	}
 
-	/** Neighbours, and who sent to this daemon lately. */
+	/** Neighbours, and daemons that have recently sent a heartbeat to this one. */
 	function findTargets(): string[] {
 		const oldest = performance.now() - (reciprocalBeats * options.beatMs);
 		const {near, far} = options.neighbours();
@@ -79,41 +79,40 @@
 		return table.get(name)?.state.dataCentre === self.dataCentre;
 	}
 
-	/** Puts news of a member into the outboxes of all but the one it came from. */
-	function passOn(known: KnownMember, kind: NewsKind, from: string): void {
+	function forward(known: KnownMember, kind: UpdateKind, from: string): void {
 		const now = performance.now();
 		const {name, dataCentre} = known.state;
 		const nearMs = dataCentre === self.dataCentre ? 0 : options.farBeatMs;
-		const tellsNear = kind === 'states' || now - known.toldNearAt >= nearMs;
-		const tellsFar = kind === 'states' || now - known.toldFarAt >= options.farBeatMs;
-		if (tellsNear) {
-			known.toldNearAt = now;
+		const includesNear = kind === 'states' || now - known.forwardedNearAt >= nearMs;
+		const includesFar = kind === 'states' || now - known.forwardedFarAt >= options.farBeatMs;
+		if (includesNear) {
+			known.forwardedNearAt = now;
 		}
 
-		if (tellsFar) {
-			known.toldFarAt = now;
+		if (includesFar) {
+			known.forwardedFarAt = now;
 		}
 
 		for (const to of targets) {
-			if (to !== from && to !== name && (isNear(to) ? tellsNear : tellsFar)) {
+			if (to !== from && to !== name && (isNear(to) ? includesNear : includesFar)) {
 				outboxOf(to)[kind].add(name);
 			}
 		}
 
 		if (kind === 'states') {
 			options.onChange(known);
-			urgentTimer ??= setTimeout(flushUrgent, urgentMs);
+			urgentTimer ??= setTimeout(flushUrgent, flushDelayMs);
 		}
 	}
 
-	function passOnVm(name: string, from: string): void {
+	function forwardVm(name: string, from: string): void {
 		for (const to of targets) {
 			if (to !== from) {
 				outboxOf(to).vms.add(name);
 			}
 		}
 
-		urgentTimer ??= setTimeout(flushUrgent, urgentMs);
+		urgentTimer ??= setTimeout(flushUrgent, flushDelayMs);
 	}
 
 	function flushUrgent(): void {
@@ -150,7 +149,7 @@
 	}
 
 	function withSilence({state, heardAt}: KnownMember) {
-		return create(MemberStateSchema, {...state, silentMs: Math.min(longestSilence, Math.round(performance.now() - heardAt))});
+		return create(MemberStateSchema, {...state, silentMs: Math.min(maxSilentMs, Math.round(performance.now() - heardAt))});
 	}
 
 	function receive(origin: PeerOrigin, heartbeat: Heartbeat): void {
@@ -161,7 +160,7 @@
 		}
 
 		for (const state of [...(heartbeat.self ? [heartbeat.self] : []), ...heartbeat.news]) {
-			takeState(state, origin.name);
+			applyState(state, origin.name);
 		}
 
 		for (const [index, id] of heartbeat.ids.entries()) {
@@ -171,22 +170,22 @@
 				outbox.wantsAll = true;
 			} else if (result.change === 'beat') {
 				outbox.beats.delete(result.member.state.name);
-				passOn(result.member, 'beats', origin.name);
+				forward(result.member, 'beats', origin.name);
 			}
 		}
 
 		for (const vm of heartbeat.vms) {
 			if (vms.apply(vm)) {
-				passOnVm(vm.name, origin.name);
+				forwardVm(vm.name, origin.name);
 			}
 		}
 
 		if (heartbeat.wantsAll) {
-			tellAll(outbox);
+			queueFullState(outbox);
 		}
 	}
 
-	function takeState(state: MemberState, from: string): void {
+	function applyState(state: MemberState, from: string): void {
 		if (state.name === self.name) {
 			if (state.incarnation > self.incarnation) {
 				options.onSuperseded(state.incarnation);
@@ -198,11 +197,11 @@
 		const change = table.apply(state);
 		const known = table.get(state.name);
 		if (known !== undefined && change !== 'none') {
-			passOn(known, change === 'state' ? 'states' : 'beats', from);
+			forward(known, change === 'state' ? 'states' : 'beats', from);
 		}
 	}
 
-	function tellAll(outbox: Outbox): void {
+	function queueFullState(outbox: Outbox): void {
 		for (const known of table.values()) {
 			if (known.heardAt > -Infinity) {
 				outbox.states.add(known.state.name);
@@ -216,8 +215,8 @@
 
 	return {
 		receive,
-		passOn,
-		passOnVm,
+		forward,
+		forwardVm,
 		sendAll() {
 			targets = findTargets();
 			for (const name of targets) {
--- a/packages/router/src/lib/membership/member-table.ts
+++ b/packages/router/src/lib/membership/member-table.ts
@@ -1,27 +1,27 @@
 /**
- * What a daemon knows of all daemons: for each the newest process, its phase,
- * and when its heartbeat counter last went on.
+ * What this daemon knows of every daemon: its newest process, the phase of that
+ * process, and when its heartbeat counter last advanced.
  */
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 import {create} from '@bufbuild/protobuf';
 import {type MemberState, MemberStateSchema, Phase} from '../../gen/hickorywalk/v1/membership_pb.js';
 
-/** One daemon as this one knows it. */
+/** A daemon as known to this one. */
 export type KnownMember = {
 	state: MemberState;
-	/** Stands for name and incarnation in short heartbeats. */
+	/** Identifies name and incarnation in compact heartbeats. */
 	id: number;
-	/** When its counter last went on, by this daemon's monotonic clock; `-Infinity` when it was only listed. */
+	/** When its counter last advanced, on this daemon's monotonic clock; `-Infinity` when it is only listed. */
 	heardAt: number;
-	/** When this daemon first knew of it. */
+	/** When this daemon first learned of it. */
 	knownSince: number;
-	/** When it was last told to daemons of this data centre, and to others. */
-	toldNearAt: number;
-	toldFarAt: number;
+	/** When its counter was last forwarded within this data centre, and to others. */
+	forwardedNearAt: number;
+	forwardedFarAt: number;
 };
 
-/** What came of a state that was heard. */
+/** What a received state or counter changed. */
 export type StateChange = 'none' | 'beat' | 'state';
 
 /** Daemons by name. */
@@ -30,11 +30,11 @@
 	values: () => Iterable<KnownMember>;
 	/** Adds this daemon itself. */
 	add: (state: MemberState) => KnownMember;
-	/** Takes a whole state in; older processes and counters change nothing. */
+	/** Merges a whole state; older processes and counters change nothing. */
 	apply: (state: MemberState) => StateChange;
-	/** Takes a counter in; `undefined` when the id is not known. */
+	/** Merges a heartbeat counter; `undefined` when the id is not known. */
 	applyBeat: (id: number, beat: number, configurationVersion: bigint) => {member: KnownMember; change: StateChange} | undefined;
-	/** Adds a daemon that is only listed so far. */
+	/** Adds a daemon that is in the VM list but has not been heard. */
 	list: (name: string, dataCentre: string, peerAddress: string) => void;
 	remove: (name: string) => void;
 };
@@ -51,14 +51,14 @@
 		}
 
 		const member = {
-			state, id: idOf(state.name, state.incarnation), heardAt, knownSince: before?.knownSince ?? performance.now(), toldNearAt: -Infinity, toldFarAt: -Infinity,
+			state, id: idOf(state.name, state.incarnation), heardAt, knownSince: before?.knownSince ?? performance.now(), forwardedNearAt: -Infinity, forwardedFarAt: -Infinity,
 		};
 		members.set(state.name, member);
 		byId.set(member.id, member);
 		return member;
 	}
 
-	function goOn(member: KnownMember, beat: bigint, version: bigint, heardAt: number): StateChange {
+	function advanceBeat(member: KnownMember, beat: bigint, version: bigint, heardAt: number): StateChange {
 		const {state} = member;
 		if (beat <= state.beat) {
 			return 'none';
@@ -86,8 +86,8 @@
 				return 'none';
 			}
 
-			const change = goOn(known, state.beat, state.configurationVersion, heardAt);
-			// The phase of one process only goes forward, so that late news can't bring it back.
+			const change = advanceBeat(known, state.beat, state.configurationVersion, heardAt);
+			// The phase of a process only advances, so that a late update can't revert it.
 			if (state.phase > known.state.phase) {
 				known.state.phase = state.phase;
 				return 'state';
@@ -97,7 +97,7 @@
 		},
 		applyBeat(id, beat, configurationVersion) {
 			const member = byId.get(id);
-			return member && {member, change: goOn(member, BigInt(beat), configurationVersion, performance.now())};
+			return member && {member, change: advanceBeat(member, BigInt(beat), configurationVersion, performance.now())};
 		},
 		list(name, dataCentre, peerAddress) {
 			if (!members.has(name)) {
--- a/packages/router/src/lib/membership/member.ts
+++ b/packages/router/src/lib/membership/member.ts
@@ -1,25 +1,25 @@
-/** How other parts see a daemon. */
+/** Status of a daemon, as shown to other modules. */
 import {Phase} from '../../gen/hickorywalk/v1/membership_pb.js';
 import {type KnownMember} from './member-table.js';
 import {type VmTable} from './vm-table.js';
 
-/** How a daemon is. `suspect` daemons are silent: paused, cut off or dead. */
+/** Status of a daemon. A `suspect` daemon is silent: paused, cut off or dead. */
 export type MemberStatus = 'listed' | 'starting' | 'live' | 'leaving' | 'suspect' | 'left';
 
-/** One daemon, for other parts. */
+/** A daemon, as shown to other modules. */
 export type Member = {
 	/** Name of the daemon and of its VM. */
 	name: string;
-	/** Its process; grows with each start. */
+	/** Incarnation of its process; increases with each start. */
 	incarnation: bigint;
 	status: MemberStatus;
 	dataCentre: string;
 	peerAddress: string;
-	/** Version that it last said to have in force. */
+	/** Configuration version that it last reported to be in force. */
 	configurationVersion: number;
-	/** Newest layout of the document that it understands. */
+	/** Newest layout of the configuration document that it supports. */
 	documentLayout: number;
-	/** Milliseconds since its counter last went on, at most as long as it is known here. */
+	/** Milliseconds since its counter last advanced, at most the time for which this daemon has known it. */
 	silentMs: number;
 };
 
@@ -27,7 +27,7 @@
 export type MemberReaderOptions = {
 	self: {name: string; dataCentre: string};
 	vms: VmTable;
-	/** Version that this daemon has in force. */
+	/** Configuration version in force on this daemon. */
 	configurationVersion: () => number;
 	/** Milliseconds of silence after which a daemon of this data centre is suspect. */
 	suspectMs: number;
@@ -35,7 +35,7 @@
 	farSuspectMs: number;
 };
 
-/** Tells how a known daemon is now. */
+/** Derives the current status of known daemons. */
 export type MemberReader = {
 	statusOf: (known: KnownMember) => MemberStatus;
 	describe: (known: KnownMember) => Member;
@@ -84,7 +84,7 @@
 				peerAddress: state.peerAddress,
 				configurationVersion: isSelf ? options.configurationVersion() : Number(state.configurationVersion),
 				documentLayout: state.documentLayout,
-				// One that was never heard counts from when it was known of: a daemon that has just started can't tell how long others were silent.
+				// A daemon that was never heard counts from when it became known: a daemon that has just started can't tell how long others have been silent.
 				silentMs: isSelf ? 0 : performance.now() - Math.max(known.heardAt, known.knownSince),
 			};
 		},
--- a/packages/router/src/lib/membership/membership.ts
+++ b/packages/router/src/lib/membership/membership.ts
@@ -1,7 +1,8 @@
 /**
- * Who is there: live, starting, leaving, suspect, left; and since which
- * process. Heartbeats go to few neighbours and are passed on while they are
- * news; counters of daemons in other data centres are passed on less often.
+ * The daemons of the fleet with their status (live, starting, leaving, suspect,
+ * left) and current process. Heartbeats go to a few neighbours, which forward what
+ * is new to them; heartbeat counters of daemons in other data centres are
+ * forwarded less often.
  */
 import {create} from '@bufbuild/protobuf';
 import {MemberStateSchema, Phase} from '../../gen/hickorywalk/v1/membership_pb.js';
@@ -16,10 +17,10 @@
 import {createGossip} from './gossip.js';
 import {createMemberReader, type Member} from './member.js';
 import {createMemberTable, type KnownMember} from './member-table.js';
-import {chooseNeighbours, inOrder, type Neighbours} from './overlay.js';
+import {chooseNeighbours, sortMembers, type Neighbours} from './overlay.js';
 import {createVmTable} from './vm-table.js';
 
-/** A daemon whose status or process changed; `before` is absent for a new one. */
+/** A change of a daemon's status or process; `before` is absent for a new daemon. */
 export type MemberChange = {
 	before?: Pick<Member, 'status' | 'incarnation'>;
 	member: Member;
@@ -27,49 +28,49 @@
 
 /** Options of {@link createMembership}. */
 export type MembershipOptions = {
-	/** This daemon. Its incarnation must grow with each start, such as the time of start in milliseconds. */
+	/** This daemon. Its incarnation must increase with each start, for example the time of start in milliseconds. */
 	self: {name: string; incarnation: bigint; dataCentre: string; peerAddress: string};
 	vms: VmListClient;
 	send: SendToPeer;
-	/** Where peers are reached; given to the links when who is there changes. */
+	/** Sets the addresses of all peers whenever the members change. */
 	setPeers: (peers: PeerAddress[]) => void;
-	/** Address for peers of a VM in the platform's list. */
+	/** Address at which peers reach a VM of the platform's list. */
 	peerAddressOf: (vm: VmEntry) => string;
-	/** Version that this daemon has in force. */
+	/** Configuration version in force on this daemon. */
 	configurationVersion: () => number;
-	/** Told when a newer process of this daemon's name is heard of: this one must stop. */
+	/** Called when a newer process with this daemon's name is seen: this one must stop. */
 	onSuperseded?: (incarnation: bigint) => void;
-	/** Told when the VM list can't be read. */
+	/** Called when the VM list can't be read. */
 	onListFault?: (error: LayerError) => void;
 	/** Milliseconds between heartbeats; 1,000 by default. */
 	beatMs?: number;
-	/** Milliseconds between passing on counters of daemons in other data centres; 4,000 by default. */
+	/** Minimum milliseconds between forwarding a heartbeat counter from or to another data centre; 4,000 by default. */
 	farBeatMs?: number;
 	/** Milliseconds of silence after which a daemon of this data centre is suspect; 5,000 by default. */
 	suspectMs?: number;
 	/** The same for other data centres; 15,000 by default. */
 	farSuspectMs?: number;
-	/** Milliseconds between reads of the VM list by all daemons together, at least `beatMs`; 2,000 by default. */
+	/** Milliseconds between reads of the VM list, counted over all daemons together; at least `beatMs`, 2,000 by default. */
 	listMs?: number;
-	/** Milliseconds after which a silent daemon that is listed no more is forgotten; 600,000 by default. */
+	/** Milliseconds after which a silent daemon that is no longer listed is removed; 600,000 by default. */
 	forgetMs?: number;
 };
 
-/** Knowledge of all daemons. */
+/** The members of the fleet, as known to this daemon. */
 export type Membership = {
 	members: () => Member[];
 	member: (name: string) => Member | undefined;
-	/** Calls on each change. Returns how to end it. */
+	/** Calls the listener on each change. Returns a function that unsubscribes it. */
 	subscribe: (listener: (change: MemberChange) => void) => () => void;
 	/** Whether endpoints on this VM must get no new work. */
 	isLeaving: (vm: string) => boolean;
-	/** Says where this daemon stands; it only goes forward. */
+	/** Sets the phase of this daemon; a phase only advances. */
 	setPhase: (phase: Phase.READY | Phase.LEAVING | Phase.LEFT) => void;
-	/** For the configuration. */
+	/** How many daemons have been heard and how many are listed, with the newest configuration version; used by the configuration. */
 	reach: () => Reach;
 	peers: () => ConfigurationPeers;
 	confirmations: () => DaemonConfirmation[];
-	/** The oldest layout that a daemon in service knows. */
+	/** The newest document layout that all daemons in service support. */
 	oldestLayout: () => number;
 	handlers: PeerHandlers;
 	/** Reads the VM list once and starts to send heartbeats. */
@@ -80,8 +81,8 @@
 const defaults = {
 	beatMs: 1000, farBeatMs: 4000, suspectMs: 5000, farSuspectMs: 15_000, listMs: 2000, forgetMs: 600_000,
 };
-/** Beats for which the same daemons of a silent data centre are called. */
-const beatsPerTurn = 4;
+/** Heartbeats for which the same representatives of a silent data centre are contacted. */
+const beatsPerRotation = 4;
 
 /**
  * Creates the membership of a daemon.
@@ -104,7 +105,7 @@
 		table,
 		vms,
 		neighbours: () => neighbours,
-		onChange: tellChange,
+		onChange: notifyChange,
 		onSuperseded(incarnation) {
 			options.onSuperseded?.(incarnation);
 		},
@@ -115,26 +116,26 @@
 	let neighbours: Neighbours = {near: new Set(), far: new Set()};
 	let reach: Reach = {heard: 1, listed: 1, newestVersion: 0};
 	let peers: ConfigurationPeers = {nearby: [], distant: [], rank: 0};
-	let listTurns: string[] = [self.name];
+	let listReaders: string[] = [self.name];
 	let listSlot = 0;
 	let timer: NodeJS.Timeout | undefined;
 	let newestVersion = 0;
 	let isChanged = true;
-	let lastTurn = 0;
+	let lastRotation = 0;
 
 	function members(): Member[] {
 		return Array.from(table.values(), known => reader.describe(known));
 	}
 
 	/**
-	 * All daemons take turns by the wall clock, so that the long list costs each
-	 * of them little. Clocks that differ only move the turns.
+	 * Daemons read the list in turns by the wall clock, because it is long and each
+	 * read is expensive. Clock differences only shift the turns.
 	 */
 	function isListTurn(): boolean {
 		const slot = Math.floor(Date.now() / settings.listMs);
 		const isNew = slot !== listSlot;
 		listSlot = slot;
-		return isNew && slot % listTurns.length === listTurns.indexOf(self.name);
+		return isNew && slot % listReaders.length === listReaders.indexOf(self.name);
 	}
 
 	async function readList(): Promise<void> {
@@ -147,7 +148,7 @@
 			}
 
 			for (const vm of vms.applyList(list)) {
-				gossip.passOnVm(vm.name, '');
+				gossip.forwardVm(vm.name, '');
 			}
 
 			refresh();
@@ -160,7 +161,7 @@
 		}
 	}
 
-	/** Works out again who is how, tells listeners, and chooses neighbours if need be. */
+	/** Updates all statuses, notifies listeners, and chooses neighbours if needed. */
 	function refresh(): void {
 		newestVersion = options.configurationVersion();
 		for (const known of table.values()) {
@@ -174,48 +175,48 @@
 			}
 
 			newestVersion = Math.max(newestVersion, Number(known.state.configurationVersion));
-			tellChange(known);
+			notifyChange(known);
 		}
 
-		const turn = Math.floor(Number(own.state.beat) / beatsPerTurn);
-		const callsOthers = turn !== lastTurn && reach.heard < reach.listed;
-		if (isChanged || callsOthers) {
+		const rotation = Math.floor(Number(own.state.beat) / beatsPerRotation);
+		const shouldRotate = rotation !== lastRotation && reach.heard < reach.listed;
+		if (isChanged || shouldRotate) {
 			isChanged = false;
-			lastTurn = turn;
-			rearrange(turn);
+			lastRotation = rotation;
+			updateTopology(rotation);
 		}
 	}
 
-	/** What depends on who is there; at 650 daemons this is too much for each beat. */
-	function rearrange(turn: number): void {
-		// This daemon stays in its own ring also when it has left: its last word still goes to its neighbours.
-		const present = inOrder(members().filter(member => member.status !== 'left' || member.name === self.name).map(member => ({...member, sound: isSound(member)})));
-		neighbours = chooseNeighbours({...self, sound: true}, present, turn);
+	/** Updates everything that depends on the set of members; at 650 daemons this is too expensive for each heartbeat. */
+	function updateTopology(rotation: number): void {
+		// This daemon stays in its own ring after it has left, so that its neighbours get its final heartbeat.
+		const present = sortMembers(members().filter(member => member.status !== 'left' || member.name === self.name).map(member => ({...member, healthy: isHealthy(member)})));
+		neighbours = chooseNeighbours({...self, healthy: true}, present, rotation);
 		const heard = present.filter(member => member.status !== 'suspect' && member.status !== 'listed');
 		reach = {heard: heard.length, listed: present.length, newestVersion};
-		const sound = present.filter(member => member.sound);
-		listTurns = sound.map(member => member.name);
-		peers = findPeers(sound);
-		tellAddresses(present);
+		const healthy = present.filter(member => member.healthy);
+		listReaders = healthy.map(member => member.name);
+		peers = findPeers(healthy);
+		publishAddresses(present);
 	}
 
-	function findPeers(sound: readonly Member[]): ConfigurationPeers {
-		const near = sound.filter(member => member.dataCentre === self.dataCentre).map(member => member.name);
+	function findPeers(healthy: readonly Member[]): ConfigurationPeers {
+		const near = healthy.filter(member => member.dataCentre === self.dataCentre).map(member => member.name);
 		return {
 			nearby: near.filter(name => name !== self.name),
-			distant: sound.filter(member => member.dataCentre !== self.dataCentre).map(member => member.name),
+			distant: healthy.filter(member => member.dataCentre !== self.dataCentre).map(member => member.name),
 			rank: Math.max(0, near.indexOf(self.name)),
 		};
 	}
 
-	function tellAddresses(present: readonly Member[]): void {
+	function publishAddresses(present: readonly Member[]): void {
 		const addresses = present
 			.filter(member => member.name !== self.name)
 			.map(member => ({name: member.name, address: member.peerAddress}));
 		options.setPeers(addresses);
 	}
 
-	function tellChange(known: KnownMember): void {
+	function notifyChange(known: KnownMember): void {
 		const before = statuses.get(known.state.name);
 		const status = reader.statusOf(known);
 		const {incarnation} = known.state;
@@ -285,6 +286,6 @@
 	};
 }
 
-function isSound({status}: Member): boolean {
+function isHealthy({status}: Member): boolean {
 	return status === 'live' || status === 'starting';
 }
--- a/packages/router/src/lib/membership/outbox.ts
+++ b/packages/router/src/lib/membership/outbox.ts
@@ -1,20 +1,20 @@
-/** What each neighbour has still to be told, so that nothing goes out twice or back to where it came from. */
+/** Updates that a neighbour has yet to be sent, so that none is sent twice or back to its sender. */
 
-/** News toward one neighbour. */
+/** Pending updates for one neighbour. */
 export type Outbox = {
-	/** Members whose whole state it should have. */
+	/** Members whose whole state is to be sent. */
 	states: Set<string>;
-	/** Members whose counter went on. */
+	/** Members whose heartbeat counter advanced. */
 	beats: Set<string>;
-	/** VMs by name. */
+	/** Names of VMs whose state changed. */
 	vms: Set<string>;
-	/** Ask for everything with the next heartbeat. */
+	/** Whether the next heartbeat requests the full state. */
 	wantsAll: boolean;
-	/** When it was last heard, by the monotonic clock. */
+	/** When the neighbour was last heard, on the monotonic clock. */
 	heardAt: number;
 };
 
-/** Creates an outbox with nothing in it. */
+/** Creates an empty outbox. */
 export function createOutbox(): Outbox {
 	return {
 		states: new Set(), beats: new Set(), vms: new Set(), wantsAll: false, heardAt: -Infinity,
--- a/packages/router/src/lib/membership/overlay.ts
+++ b/packages/router/src/lib/membership/overlay.ts
@@ -1,18 +1,19 @@
 /**
- * Whom a daemon sends its heartbeats. Within a data centre each has at most
- * four neighbours on a ring with chords; two representatives of each data
- * centre do the same among all representatives. Links grow with neither.
+ * Chooses the targets of a daemon's heartbeats. Within a data centre each daemon
+ * has at most four neighbours on a ring with chords; two representatives of each
+ * data centre form the same kind of ring among all representatives. The number of
+ * links per daemon grows with neither daemons nor data centres.
  */
 
-/** What the choice depends on. */
+/** A member, as far as the choice of neighbours depends on it. */
 export type OverlayMember = {
 	name: string;
 	dataCentre: string;
-	/** Heard recently, neither leaving nor left. */
-	sound: boolean;
+	/** Heard recently, and neither leaving nor left. */
+	healthy: boolean;
 };
 
-/** Whom to send heartbeats. */
+/** Targets of heartbeats, in this data centre and in others. */
 export type Neighbours = {
 	near: Set<string>;
 	far: Set<string>;
@@ -20,8 +21,8 @@
 
 const representativesPerDataCentre = 2;
 
-/** Orders members so that all daemons with the same view agree. */
-export function inOrder<Member extends OverlayMember>(members: Iterable<Member>): Member[] {
+/** Sorts members, so that all daemons with the same view use the same order. */
+export function sortMembers<Member extends OverlayMember>(members: Iterable<Member>): Member[] {
 	return [...members].toSorted((a, b) => compare(a.dataCentre, b.dataCentre) || compare(a.name, b.name));
 }
 
@@ -34,22 +35,23 @@
 }
 
 /**
- * Chooses the neighbours of `self`, which stands among the members.
+ * Chooses the neighbours of `self`, which is one of the members.
  *
- * @param turn Grows slowly; of a data centre that is silent as a whole it
- * chooses others each time, because those called before may be dead for good.
+ * @param rotation A slowly increasing number that selects which daemons of a
+ * fully silent data centre are contacted, since those contacted before may be
+ * permanently dead.
  */
-export function chooseNeighbours(self: OverlayMember, members: Iterable<OverlayMember>, turn = 0): Neighbours {
-	const ordered = inOrder(members);
+export function chooseNeighbours(self: OverlayMember, members: Iterable<OverlayMember>, rotation = 0): Neighbours {
+	const ordered = sortMembers(members);
 	const near = ringNeighbours(self.name, ordered.filter(member => member.dataCentre === self.dataCentre));
-	const representatives = findRepresentatives(ordered, turn);
+	const representatives = findRepresentatives(ordered, rotation);
 	const far = representatives.some(member => member.name === self.name)
 		? ringNeighbours(self.name, representatives)
 		: new Set<string>();
 	return {near, far};
 }
 
-function findRepresentatives(ordered: readonly OverlayMember[], turn: number): OverlayMember[] {
+function findRepresentatives(ordered: readonly OverlayMember[], rotation: number): OverlayMember[] {
 	const byDataCentre = new Map<string, OverlayMember[]>();
 	for (const member of ordered) {
 		const list = byDataCentre.get(member.dataCentre) ?? [];
@@ -58,13 +60,13 @@
 	}
 
 	return [...byDataCentre.values()].flatMap(list => {
-		const sound = list.filter(member => member.sound);
-		if (sound.length > 0) {
-			return sound.slice(0, representativesPerDataCentre);
+		const healthy = list.filter(member => member.healthy);
+		if (healthy.length > 0) {
+			return healthy.slice(0, representativesPerDataCentre);
 		}
 
-		// A data centre that is silent as a whole is still called, or a cut would never heal.
-		return list.filter((_, index) => (index + turn) % list.length < representativesPerDataCentre);
+		// A fully silent data centre is still contacted, or a partition would never heal.
+		return list.filter((_, index) => (index + rotation) % list.length < representativesPerDataCentre);
 	});
 }
 
@@ -73,7 +75,7 @@
 	const chord = Math.max(2, Math.round(Math.sqrt(ring.length)));
 	const chosen = new Set<string>();
 	for (const step of [1, -1, chord, -chord]) {
-		for (const neighbour of walk(ring, at, step)) {
+		for (const neighbour of neighboursAtStep(ring, at, step)) {
 			chosen.add(neighbour);
 		}
 	}
@@ -83,21 +85,21 @@
 }
 
 /**
- * The neighbour at a step, and when it is silent the next sound one beyond it
- * as well: the ring closes around the silent one, which is called all the same
- * so that it is found again.
+ * The neighbour at a step; if it is not healthy, also the next healthy one beyond
+ * it, which closes the ring. The unhealthy neighbour is still contacted, so that
+ * its recovery is noticed.
  */
-function walk(ring: readonly OverlayMember[], at: number, step: number): string[] {
+function neighboursAtStep(ring: readonly OverlayMember[], at: number, step: number): string[] {
 	const size = ring.length;
 	const first = ring[(((at + step) % size) + size) % size];
-	if (first.sound) {
+	if (first.healthy) {
 		return [first.name];
 	}
 
 	const direction = Math.sign(step);
 	for (let distance = Math.abs(step) + 1; distance < size + Math.abs(step); distance++) {
 		const member = ring[(((at + (direction * distance)) % size) + size) % size];
-		if (member.sound) {
+		if (member.healthy) {
 			return [first.name, member.name];
 		}
 	}
--- a/packages/router/src/lib/membership/vm-table.ts
+++ b/packages/router/src/lib/membership/vm-table.ts
@@ -1,27 +1,27 @@
 /**
- * Which VMs are leaving or gone. The platform's list is long, so that few
- * daemons read it at a time and pass on only what changed.
+ * Tracks which VMs are leaving or gone. The platform's list is long, so only a few
+ * daemons read it at a time and forward only what changed.
  */
 import {create} from '@bufbuild/protobuf';
 import {VmPhase, type VmState, VmStateSchema} from '../../gen/hickorywalk/v1/membership_pb.js';
 import {type VmList} from '../platform/platform.js';
 
-/** VMs that are not simply live. */
+/** VMs whose phase has changed; a VM without an entry is live. */
 export type VmTable = {
-	/** Takes a list that was read; returns what was not known. An older list changes nothing. */
+	/** Applies a list and returns the changes. A list older than the last one changes nothing. */
 	applyList: (list: VmList) => VmState[];
-	/** Takes news of one VM; true when it was not known. */
+	/** Applies an update of one VM; returns whether it was new. */
 	apply: (vm: VmState) => boolean;
-	/** Leaving, or gone from a later version of the list than it was in. */
+	/** Whether the VM is leaving, or is missing from a later version of the list than one that had it. */
 	isLeaving: (name: string) => boolean;
 	isGone: (name: string) => boolean;
-	/** `undefined` for a VM that was always live. */
+	/** The latest update of a VM; `undefined` for one that was always live. */
 	get: (name: string) => VmState | undefined;
-	/** All that a daemon which has just started should know. */
+	/** All updates, for a daemon that has just started. */
 	all: () => VmState[];
 };
 
-/** VMs gone for this many versions of the list are forgotten; their names come no more. */
+/** VMs gone for this many versions of the list are forgotten; VM names are not reused. */
 const versionsRemembered = 10_000n;
 
 const phases = {live: VmPhase.LIVE, leaving: VmPhase.LEAVING} as const;
@@ -32,14 +32,14 @@
 	let inLastList = new Set<string>();
 	let listVersion = 0n;
 
-	function isNews(vm: VmState): boolean {
+	function isUpdate(vm: VmState): boolean {
 		const known = states.get(vm.name);
 		const phase = known?.phase ?? VmPhase.LIVE;
 		return vm.listVersion > (known?.listVersion ?? 0n) && vm.phase !== phase;
 	}
 
 	function apply(vm: VmState): boolean {
-		if (!isNews(vm)) {
+		if (!isUpdate(vm)) {
 			return false;
 		}
 
@@ -59,7 +59,7 @@
 
 			listVersion = BigInt(list.version);
 			const names = new Set(list.vms.map(vm => vm.name));
-			// Absence proves something only of a VM that an earlier list had: a new one may be missing yet.
+			// Only a VM that an earlier list had can be gone: a new VM may not be in the list yet.
 			const gone = [...inLastList].filter(name => !names.has(name));
 			inLastList = names;
 			const news = [
--- a/packages/router/src/lib/routing/attempt-budget.ts
+++ b/packages/router/src/lib/routing/attempt-budget.ts
@@ -1,50 +1,50 @@
 /**
- * Budgets for second attempts. In a brown-out every request fails or is slow;
- * if each were tried again, the load would double just when there is too much
- * of it, and the brown-out would last. A budget lets second attempts be no more
- * than a share of recent first ones, so that load grows by that share at most.
+ * Budgets for further attempts (retries and hedges). When a service is
+ * overloaded, most requests fail or are slow; retrying each of them would double
+ * the load and prolong the overload. A budget limits further attempts to a share
+ * of recent first attempts, so that load grows by at most that share.
  */
 
-/** How large a budget is. */
+/** Size of a budget. */
 export type AttemptBudgetOptions = {
-	/** Second attempts for each first one. */
+	/** Further attempts allowed for each first attempt. */
 	share: number;
-	/** Second attempts that are always allowed within one window, for quiet times; asked anew each time where it changes. */
+	/** Further attempts that are always allowed within one window, for low traffic. A function is called on every withdrawal, for a number that changes. */
 	fewest: number | (() => number);
-	/** The fixed part comes on top of the share, in place of being the least of it. Default false. */
+	/** Adds `minimum` to the share instead of taking the larger of the two. Default false. */
 	isFewestExtra?: boolean;
-	/** Milliseconds for which a first attempt counts. */
+	/** Length of the sliding window, in milliseconds. */
 	windowMs: number;
 };
 
-/** Counts first attempts and grants second ones. */
+/** Counts first attempts and grants further ones. */
 export type AttemptBudget = {
-	/** A request was tried for the first time. */
+	/** Records a first attempt. */
 	deposit: () => void;
-	/** Takes leave for one further attempt; false when the budget is spent. */
+	/** Claims one further attempt; false when the budget is exhausted. */
 	withdraw: () => boolean;
 };
 
-const slices = 10;
+const sliceCount = 10;
 
-/** A budget over a sliding window of ten slices, on the monotonic clock. */
-const createAttemptBudget = ({share, fewest, windowMs, isFewestExtra = false}: AttemptBudgetOptions): AttemptBudget => {
-	const firsts = new Float64Array(slices);
-	const seconds = new Float64Array(slices);
-	const sliceMs = windowMs / slices;
-	const least = typeof fewest === 'number' ? () => fewest : fewest;
+/** Creates a budget over a sliding window of ten slices, on the monotonic clock. */
+const createAttemptBudget = ({share, fewest: minimum, windowMs, isFewestExtra: isMinimumAdded = false}: AttemptBudgetOptions): AttemptBudget => {
+	const firstAttempts = new Float64Array(sliceCount);
+	const extraAttempts = new Float64Array(sliceCount);
+	const sliceMs = windowMs / sliceCount;
+	const currentMinimum = typeof minimum === 'number' ? () => minimum : minimum;
 	let slice = Math.floor(performance.now() / sliceMs);
 
-	/** Empties the slices that have left the window. */
+	/** Clears the slices that have left the window and returns the index of the current one. */
 	const advance = (): number => {
 		const current = Math.floor(performance.now() / sliceMs);
-		for (let passed = Math.max(slice + 1, current - slices + 1); passed <= current; passed++) {
-			firsts[passed % slices] = 0;
-			seconds[passed % slices] = 0;
+		for (let passed = Math.max(slice + 1, current - sliceCount + 1); passed <= current; passed++) {
+			firstAttempts[passed % sliceCount] = 0;
+			extraAttempts[passed % sliceCount] = 0;
 		}
 
 		slice = Math.max(slice, current);
-		return slice % slices;
+		return slice % sliceCount;
 	};
 
 	const sum = (values: Float64Array): number => {
@@ -59,24 +59,24 @@
 	return {
 		deposit() {
 			const index = advance();
-			firsts[index]++;
+			firstAttempts[index]++;
 		},
 		withdraw() {
 			const index = advance();
-			const earned = sum(firsts) * share;
-			if (sum(seconds) + 1 > (isFewestExtra ? least() + earned : Math.max(least(), earned))) {
+			const allowedByShare = sum(firstAttempts) * share;
+			if (sum(extraAttempts) + 1 > (isMinimumAdded ? currentMinimum() + allowedByShare : Math.max(currentMinimum(), allowedByShare))) {
 				return false;
 			}
 
-			seconds[index]++;
+			extraAttempts[index]++;
 			return true;
 		},
 	};
 };
 
 /**
- * A budget for retries: at most a fifth of the first attempts of the last ten
- * seconds, three in quiet times.
+ * Creates a budget for retries: at most a fifth of the first attempts of the last
+ * ten seconds, or three when traffic is low.
  *
  * @example
  * const budget = createRetryBudget();
@@ -91,8 +91,9 @@
 	});
 
 /**
- * A budget for hedges, that is second attempts while the first still runs: at
- * most one in twenty. A hedge costs as much as a retry and often gains nothing.
+ * Creates a budget for hedges, that is, further attempts while the first still
+ * runs: at most one per twenty first attempts. A hedge costs as much as a retry
+ * and often gains nothing.
  */
 export const createHedgeBudget = (options: Partial<AttemptBudgetOptions> = {}): AttemptBudget =>
 	createAttemptBudget({
--- a/packages/router/src/lib/routing/candidates.ts
+++ b/packages/router/src/lib/routing/candidates.ts
@@ -1,6 +1,7 @@
 /**
- * Which endpoints a decision looks at: the homes of the prompt's shallowest
- * level with a few spare ones, and those that answers have shown warm.
+ * Selects the endpoints that a placement decision compares: the homes of the
+ * prompt's shallowest level with a few spares, and endpoints where answers have
+ * shown the prefix cached.
  */
 import {type PlacementRequest} from '../serving/ports.js';
 import {type EngineModel} from './engine-model.js';
@@ -10,26 +11,26 @@
 import {type FilledPlacerOptions} from './placement-options.js';
 import {type PrefixLevel} from './prefix-levels.js';
 import {
-	fadedValue, isAlive, type KnownPrefix, type PrefixMemory, type WarmHome,
+	decayedValue, isCurrent, type KnownPrefix, type PrefixMemory, type WarmHome,
 } from './prefix-memory.js';
 import {type ServiceEntry} from './service-table.js';
 
-/** An endpoint under consideration. */
+/** An endpoint that a placement decision considers. */
 export type Candidate = {
 	engine: EngineRecord;
-	/** Pieces expected to be cached there, as answers have shown. */
+	/** Pieces expected to be cached there, according to past answers. */
 	cachedPieces: number;
-	/** Depth of the level that this rests on; 0 for none. */
+	/** Depth of the level that `cachedPieces` is based on; 0 for none. */
 	depth: number;
-	/** Age of that level's last use there. */
+	/** Milliseconds since that level was last used there. */
 	ageMs: number;
-	/** Depth down to which it is a computed home of levels that are known. */
+	/** Depth down to which it is a computed home of known levels. */
 	homeDepth: number;
 	/** Whether it is a home of the deepest level. */
 	isHome: boolean;
 };
 
-/** What candidates are looked for. */
+/** Input of a candidate search. */
 export type CandidateSearch = {
 	request: PlacementRequest;
 	service: ServiceEntry;
@@ -42,8 +43,8 @@
 	search: (search: CandidateSearch) => Iterable<Candidate>;
 };
 
-/** How likely a prefix is still cached after this long without use. */
-const stillCached = (ageMs: number, survivalMs: number): number => {
+/** Estimated probability that a prefix is still cached `ageMs` after its last use. */
+const cachedProbability = (ageMs: number, survivalMs: number): number => {
 	const squared = (ageMs / survivalMs) * (ageMs / survivalMs);
 	return 1 / (1 + (squared * squared));
 };
@@ -52,13 +53,13 @@
 	engine, cachedPieces: 0, depth: 0, ageMs: 0, homeDepth: 0, isHome: false,
 });
 
-/** Part of one endpoint's share of requests from which on a level counts as hot. */
-const hotPart = 0.25;
+/** A level is hot when its share of requests is at least this fraction of one endpoint's share. */
+const hotLevelShare = 0.25;
 
-/** Requests assumed to have come before the first, so that shares of few requests stay small. */
-const assumedRequests = 20;
+/** Added to the number of requests, so that shares computed from few requests stay small. */
+const priorRequests = 20;
 
-/** What candidates are found with. */
+/** Dependencies of a candidate finder. */
 export type CandidateFinderParts = {
 	memory: PrefixMemory;
 	health: HealthTracker;
@@ -67,35 +68,35 @@
 };
 
 /**
- * Opens a finder over what a placer has learned.
+ * Creates a finder over what a placer has learned.
  * @internal
  */
 export const createCandidateFinder = ({memory, health, model, options}: CandidateFinderParts): CandidateFinder => {
-	/** What all routers know alike, so that they skip the same endpoints in the order of homes. */
+	/** Uses only state that all routers share, so that they skip the same endpoints in the order of homes. */
 	const canServe = (engine: EngineRecord, request: PlacementRequest): boolean =>
 		engine.usable && (engine.version === '' || engine.version === request.version);
 
-	const mayTake = (engine: EngineRecord, {request, now}: CandidateSearch): boolean =>
+	const isEligible = (engine: EngineRecord, {request, now}: CandidateSearch): boolean =>
 		canServe(engine, request)
 		&& !request.excluded.has(engine.name)
 		&& model.hasRoom(engine, now)
-		&& engine.unfinished < health.roomOf(engine.name);
+		&& engine.inFlightCount < health.roomOf(engine.name);
 
-	/** Homes that a prefix's share of the service's requests asks for, as a fraction. */
+	/** Number of homes for a prefix, from its share of the service's requests; a fraction. */
 	const countHomes = (known: KnownPrefix | undefined, allRequests: number, {service, now}: CandidateSearch): number => {
 		if (known === undefined) {
 			return 0;
 		}
 
-		const requests = fadedValue(known.requests, now);
-		const sinceFirst = allRequests - fadedValue(known.before, now);
-		// The lower end of what so few requests tell: a prefix seen once or twice
-		// is no hot one.
-		const share = Math.max(0, requests - Math.sqrt(requests)) / (sinceFirst + assumedRequests);
+		const requests = decayedValue(known.requests, now);
+		const sinceFirst = allRequests - decayedValue(known.before, now);
+		// Lower confidence bound of the request count: a prefix seen once or twice is
+		// not hot.
+		const share = Math.max(0, requests - Math.sqrt(requests)) / (sinceFirst + priorRequests);
 		return Math.min(options.mostHomes, share * service.engines.length * options.homeHeadroom);
 	};
 
-	/** The first endpoints of the computed order that can serve the request. */
+	/** The first `count` endpoints of the prompt's home order that can serve the request. */
 	const takeFromOrder = (search: CandidateSearch, count: number): EngineRecord[] => {
 		const {homes} = search.service;
 		const [root] = search.request.pieces;
@@ -115,23 +116,24 @@
 	};
 
 	/**
-	 * Where the part below the hot levels is much longer than these, a further
-	 * copy of them costs little: the homes of the long part are then spread over
-	 * the service, which evens out the load, and not kept to the hot levels' few.
+	 * When the part below the hot levels is much longer than these, another copy of
+	 * the hot levels costs little. The homes of the long part are then spread over
+	 * the service, which balances load, instead of staying within the few homes of
+	 * the hot levels.
 	 */
-	const widenForLongRest = (sizes: number[], {request, service, levels}: CandidateSearch): void => {
+	const spreadLongSuffix = (sizes: number[], {request, service, levels}: CandidateSearch): void => {
 		let hot = sizes.length - 1;
-		while (hot >= 0 && sizes[hot] < options.homeHeadroom * hotPart) {
+		while (hot >= 0 && sizes[hot] < options.homeHeadroom * hotLevelShare) {
 			hot--;
 		}
 
-		if (hot >= 0 && request.pieces.length > levels[hot].depth * (1 + options.longRest)) {
+		if (hot >= 0 && request.pieces.length > levels[hot].depth * (1 + options.longSuffixRatio)) {
 			sizes.fill(Math.min(service.engines.length, options.mostHomes), 0, hot + 1);
 		}
 	};
 
 	const addCandidate = (found: Map<EngineRecord, Candidate>, search: CandidateSearch, engine: EngineRecord, homeDepth: number, isHome: boolean): void => { // eslint-disable-line max-params
-		if (mayTake(engine, search)) {
+		if (isEligible(engine, search)) {
 			found.set(engine, {
 				engine, cachedPieces: 0, depth: 0, ageMs: 0, homeDepth, isHome,
 			});
@@ -139,9 +141,9 @@
 	};
 
 	const addHomes = (found: Map<EngineRecord, Candidate>, search: CandidateSearch, known: ReadonlyArray<KnownPrefix | undefined>): void => {
-		const allRequests = fadedValue(search.service.requests, search.now);
+		const allRequests = decayedValue(search.service.requests, search.now);
 		const sizes = known.map(prefix => countHomes(prefix, allRequests, search));
-		widenForLongRest(sizes, search);
+		spreadLongSuffix(sizes, search);
 		const rootCount = Math.max(1, Math.ceil(sizes[0]));
 		const root = takeFromOrder(search, rootCount + options.spareHomes);
 		if (root.length === 0) {
@@ -150,7 +152,7 @@
 
 		const path = walkHomes(root, search.levels, sizes, options.consideredHomes);
 		for (const [index, engine] of path.considered.entries()) {
-			const isHome = index < path.deepest;
+			const isHome = index < path.deepestCount;
 			addCandidate(found, search, engine, isHome ? path.deepestDepth : path.otherDepth, isHome);
 		}
 
@@ -159,9 +161,9 @@
 		}
 	};
 
-	const noteWarm = (candidate: Candidate, {depth}: PrefixLevel, {usedAt}: WarmHome, now: number): void => {
+	const recordWarm = (candidate: Candidate, {depth}: PrefixLevel, {usedAt}: WarmHome, now: number): void => {
 		const ageMs = now - usedAt;
-		const cachedPieces = depth * stillCached(ageMs, candidate.engine.survivalMs);
+		const cachedPieces = depth * cachedProbability(ageMs, candidate.engine.survivalMs);
 		if (cachedPieces > candidate.cachedPieces) {
 			candidate.cachedPieces = cachedPieces;
 			candidate.depth = depth;
@@ -169,13 +171,13 @@
 		}
 	};
 
-	/** Endpoints that answers have shown warm for a level; of many only those under consideration. */
+	/** Adds endpoints where answers have shown the level cached. When there are many, only existing candidates are updated. */
 	const addWarm = (found: Map<EngineRecord, Candidate>, search: CandidateSearch, level: PrefixLevel, {homes}: KnownPrefix): void => {
 		if (homes.size > options.consideredHomes) {
 			for (const candidate of found.values()) {
 				const home = homes.get(candidate.engine);
-				if (home !== undefined && isAlive(home, candidate.engine)) {
-					noteWarm(candidate, level, home, search.now);
+				if (home !== undefined && isCurrent(home, candidate.engine)) {
+					recordWarm(candidate, level, home, search.now);
 				}
 			}
 
@@ -183,43 +185,43 @@
 		}
 
 		for (const [engine, home] of homes) {
-			if (!isAlive(home, engine)) {
+			if (!isCurrent(home, engine)) {
 				continue;
 			}
 
 			let candidate = found.get(engine);
-			if (candidate === undefined && mayTake(engine, search)) {
+			if (candidate === undefined && isEligible(engine, search)) {
 				candidate = coldCandidate(engine);
 				found.set(engine, candidate);
 			}
 
 			if (candidate !== undefined) {
-				noteWarm(candidate, level, home, search.now);
+				recordWarm(candidate, level, home, search.now);
 			}
 		}
 	};
 
 	const addAll = (found: Map<EngineRecord, Candidate>, search: CandidateSearch): void => {
 		for (const engine of search.service.engines) {
-			if (mayTake(engine, search)) {
+			if (isEligible(engine, search)) {
 				found.set(engine, coldCandidate(engine));
 			}
 		}
 	};
 
-	/** Prompts without a whole piece have no home: some endpoints are drawn. */
-	const addDrawn = (found: Map<EngineRecord, Candidate>, search: CandidateSearch): void => {
+	/** Prompts shorter than one piece have no home; random endpoints are considered instead. */
+	const addRandom = (found: Map<EngineRecord, Candidate>, search: CandidateSearch): void => {
 		const {engines} = search.service;
-		for (let drawn = 0; drawn < options.drawnCandidates; drawn++) {
+		for (let drawn = 0; drawn < options.randomCandidates; drawn++) {
 			const engine = engines[Math.floor(options.random() * engines.length)];
-			if (mayTake(engine, search)) {
+			if (isEligible(engine, search)) {
 				found.set(engine, coldCandidate(engine));
 			}
 		}
 	};
 
 	const addKnown = (found: Map<EngineRecord, Candidate>, search: CandidateSearch): void => {
-		const known = search.levels.map(level => memory.look(level.hash));
+		const known = search.levels.map(level => memory.get(level.hash));
 		addHomes(found, search, known);
 		for (const [index, level] of search.levels.entries()) {
 			const prefix = known[index];
@@ -233,7 +235,7 @@
 		search(search) {
 			const found = new Map<EngineRecord, Candidate>();
 			if (search.levels.length === 0) {
-				addDrawn(found, search);
+				addRandom(found, search);
 			} else {
 				addKnown(found, search);
 			}
--- a/packages/router/src/lib/routing/engine-model.ts
+++ b/packages/router/src/lib/routing/engine-model.ts
@@ -1,57 +1,57 @@
 /**
- * Estimates of an endpoint's queue and speed, and how news change them. Times
- * are milliseconds, `now` is the monotonic clock.
+ * Estimates an endpoint's queue and speed, and updates the estimates from load
+ * reports and answers. Times are milliseconds, `now` is the monotonic clock.
  */
 import {type EngineLoad} from '../serving/ports.js';
-import {longestSurvivalMs, type EngineRecord, type OwnStart} from './engine-record.js';
+import {maxSurvivalMs, type EngineRecord, type LocalRequest} from './engine-record.js';
 
-/** How endpoints are estimated; every duration in milliseconds. */
+/** Options of the estimates; durations in milliseconds. */
 export type EngineModelOptions = {
-	/** Age at which a told load says nothing any more. */
+	/** Age at which a reported load is ignored. */
 	reportLifeMs: number;
-	/** How long a new process of an engine is kept from a full share of work. */
+	/** Time during which a new engine process gets less than a full share of work. */
 	slowStartMs: number;
-	/** Requests of this router that a new process may have at once, at the start. */
+	/** Requests of this router that a new process may have in flight at the start. */
 	slowStartRequests: number;
 };
 
-/** The arithmetic over records. */
+/** Estimates and updates over engine records. */
 export type EngineModel = {
-	/** Milliseconds until a request that starts now would be worked on. */
+	/** Milliseconds that a request sent now would wait before the engine computes it. */
 	queueMs: (engine: EngineRecord, now: number) => number;
-	/** Whether slow start leaves room for one more request of this router. */
+	/** Whether slow start allows one more request of this router. */
 	hasRoom: (engine: EngineRecord, now: number) => boolean;
-	/** An own request left for the endpoint, with the work it is thought to bring. */
-	start: (engine: EngineRecord, now: number, workMs: number) => OwnStart;
-	/** An own request ended, so that none of its prompt waits any more. */
-	finish: (engine: EngineRecord, start: OwnStart) => void;
-	/** The engine told its load `lagMs` ago. False, and nothing changes, when that was a process known to be dead. */
-	tell: (engine: EngineRecord, now: number, load: EngineLoad, lagMs: number) => boolean;
-	/** A request's first token came; `workedTokens` were computed for it. */
+	/** Records that this router sent a request, with the estimated time to compute it. */
+	start: (engine: EngineRecord, now: number, workMs: number) => LocalRequest;
+	/** Records that a local request ended, so that its prompt no longer counts as queued. */
+	finish: (engine: EngineRecord, start: LocalRequest) => void;
+	/** Takes in a load that the engine measured `lagMs` ago. Returns false and changes nothing when it comes from a process known to be dead. */
+	applyLoad: (engine: EngineRecord, now: number, load: EngineLoad, lagMs: number) => boolean;
+	/** Learns from the time to first token; `workedTokens` were computed for it. */
 	learnSpeed: (engine: EngineRecord, firstTokenMs: number, queuedMs: number, workedTokens: number) => void;
-	/** A request ended this long after its first token. */
+	/** Learns from the time between a request's first token and its end. */
 	learnGenerating: (engine: EngineRecord, durationMs: number) => void;
-	/** A prefix last used `ageMs` ago was found cached or lost. */
+	/** Learns from whether a prefix last used `ageMs` ago was still cached. */
 	learnSurvival: (engine: EngineRecord, ageMs: number, cached: boolean) => void;
-	/** The engine's cache is lost. */
+	/** Records that the engine's cache is lost. */
 	forget: (engine: EngineRecord, now: number) => void;
 };
 
-const shortestSurvivalMs = 500;
-const fewestTokensToLearnFrom = 256;
-const deadProcessesRemembered = 8;
-const ownStartsKept = 256;
-/** An engine is quiet while the foreseen queue is less than this share of the time. */
-const quietShare = 0.1;
-const raiseStep = 0.02;
-const generatingStep = 0.1;
-/** An answer is late after its work and so many times the usual time of generating. */
-const lateAfter = 1.5;
-/** How many times as many requests slow start allows at its end as at its beginning, less one. */
+const minSurvivalMs = 500;
+const minTokensToLearnFrom = 256;
+const maxDeadIncarnations = 8;
+const maxUnreportedRequests = 256;
+/** An engine counts as idle while its estimated queue is less than this share of the time to first token. */
+const maxIdleQueueShare = 0.1;
+const maxRaise = 0.02;
+const generatingSmoothing = 0.1;
+/** An answer is overdue after its computing time plus this many times the usual generating time. */
+const overdueFactor = 1.5;
+/** Slow start ends at `1 + slowStartGrowth` times the initial number of requests. */
 const slowStartGrowth = 8;
 
-/** What the engine told, worked off at the learned speed since. */
-const toldMs = ({told, msPerToken, generatingMs}: EngineRecord, now: number, lifeMs: number): number => {
+/** Queue from the reported load, less the time that has passed since it was measured. */
+const reportedQueueMs = ({reportedLoad: told, msPerToken, generatingMs}: EngineRecord, now: number, lifeMs: number): number => {
 	if (told === undefined || now - told.takenAt > lifeMs) {
 		return 0;
 	}
@@ -61,14 +61,14 @@
 	return Math.max(0, Math.max(prefillMs, slotMs) - (now - told.takenAt));
 };
 
-/** Own requests that the told load can't hold, one after the other. */
-const untoldMs = ({own}: EngineRecord, now: number): number => {
+/** Queue of the local requests that the reported load can't include, run one after the other. */
+const unreportedQueueMs = ({localRequests: own}: EngineRecord, now: number): number => {
 	if (own === undefined) {
 		return 0;
 	}
 
 	let busyUntil = Number.NEGATIVE_INFINITY;
-	for (const start of own.untold) {
+	for (const start of own.unreported) {
 		busyUntil = Math.max(busyUntil, start.at) + start.workMs;
 	}
 
@@ -76,36 +76,36 @@
 };
 
 /**
- * By how much the oldest own request is late. An engine with a long queue gives
- * few answers and so little news of its queue; that an answer is late is news
- * as well.
+ * By how much the oldest local request is overdue. An engine with a long queue
+ * sends few answers and so little news of its queue; an overdue answer is
+ * therefore evidence of a queue.
  */
-const overdueMs = ({own, generatingMs}: EngineRecord, now: number): number => {
-	if (own === undefined || own.open.size === 0) {
+const overdueMs = ({localRequests: own, generatingMs}: EngineRecord, now: number): number => {
+	if (own === undefined || own.inFlight.size === 0) {
 		return 0;
 	}
 
-	const [oldest] = own.open;
-	return now - oldest.at - oldest.workMs - (lateAfter * generatingMs);
+	const [oldest] = own.inFlight;
+	return now - oldest.at - oldest.workMs - (overdueFactor * generatingMs);
 };
 
 const forget = (engine: EngineRecord, now: number): void => {
 	engine.generation++;
 	engine.adapters = [];
-	engine.survivalMs = longestSurvivalMs;
-	engine.told = undefined;
+	engine.survivalMs = maxSurvivalMs;
+	engine.reportedLoad = undefined;
 	engine.lostAt = now;
-	if (engine.own !== undefined) {
-		engine.own.untold = [];
+	if (engine.localRequests !== undefined) {
+		engine.localRequests.unreported = [];
 	}
 };
 
-/** Takes over process and version; a change of either loses the cache. */
-const identify = (engine: EngineRecord, now: number, {incarnation, version}: EngineLoad): void => {
+/** Updates process and version; a change of either means that the cache is lost. */
+const updateIdentity = (engine: EngineRecord, now: number, {incarnation, version}: EngineLoad): void => {
 	const isRestarted = engine.incarnation !== '' && incarnation !== engine.incarnation;
 	const isReloaded = engine.version !== '' && version !== engine.version;
 	if (isRestarted) {
-		engine.deadIncarnations = [...engine.deadIncarnations, engine.incarnation].slice(-deadProcessesRemembered);
+		engine.deadIncarnations = [...engine.deadIncarnations, engine.incarnation].slice(-maxDeadIncarnations);
 	}
 
 	engine.incarnation = incarnation;
@@ -116,84 +116,84 @@
 };
 
 /**
- * Opens the arithmetic with its options.
+ * Creates the model with its options.
  * @internal
  */
 export const createEngineModel = (options: EngineModelOptions): EngineModel => ({
-	queueMs: (engine, now) => Math.max(toldMs(engine, now, options.reportLifeMs) + untoldMs(engine, now), overdueMs(engine, now)),
-	hasRoom({lostAt, unfinished}, now) {
+	queueMs: (engine, now) => Math.max(reportedQueueMs(engine, now, options.reportLifeMs) + unreportedQueueMs(engine, now), overdueMs(engine, now)),
+	hasRoom({lostAt, inFlightCount: unfinished}, now) {
 		const since = now - lostAt;
 		return since >= options.slowStartMs || unfinished < options.slowStartRequests * (1 + (slowStartGrowth * since / options.slowStartMs));
 	},
 	start(engine, now, workMs) {
 		const start = {at: now, workMs};
-		engine.own ??= {open: new Set(), untold: []};
-		engine.unfinished++;
-		engine.own.open.add(start);
-		engine.own.untold.push(start);
-		if (engine.own.untold.length > ownStartsKept) {
-			engine.own.untold.shift();
+		engine.localRequests ??= {inFlight: new Set(), unreported: []};
+		engine.inFlightCount++;
+		engine.localRequests.inFlight.add(start);
+		engine.localRequests.unreported.push(start);
+		if (engine.localRequests.unreported.length > maxUnreportedRequests) {
+			engine.localRequests.unreported.shift();
 		}
 
 		return start;
 	},
 	finish(engine, start) {
-		const {own} = engine;
-		engine.unfinished--;
+		const {localRequests: own} = engine;
+		engine.inFlightCount--;
 		if (own === undefined) {
 			return;
 		}
 
-		own.open.delete(start);
-		const index = own.untold.indexOf(start);
+		own.inFlight.delete(start);
+		const index = own.unreported.indexOf(start);
 		if (index !== -1) {
-			own.untold.splice(index, 1);
+			own.unreported.splice(index, 1);
 		}
 	},
-	tell(engine, now, load, lagMs) {
+	applyLoad(engine, now, load, lagMs) {
 		if (engine.deadIncarnations.includes(load.incarnation)) {
 			return false;
 		}
 
-		identify(engine, now, load);
+		updateIdentity(engine, now, load);
 		const takenAt = now - lagMs;
-		if (engine.told !== undefined && takenAt < engine.told.takenAt) {
+		if (engine.reportedLoad !== undefined && takenAt < engine.reportedLoad.takenAt) {
 			return true;
 		}
 
 		const {pendingPromptTokens, waiting, running} = load;
-		engine.told = {
+		engine.reportedLoad = {
 			takenAt, pendingPromptTokens, waiting, running,
 		};
-		if (engine.own !== undefined) {
-			engine.own.untold = engine.own.untold.filter(start => start.at > takenAt);
+		if (engine.localRequests !== undefined) {
+			engine.localRequests.unreported = engine.localRequests.unreported.filter(start => start.at > takenAt);
 		}
 
 		return true;
 	},
 	learnSpeed(engine, firstTokenMs, queuedMs, workedTokens) {
-		if (workedTokens < fewestTokensToLearnFrom) {
+		if (workedTokens < minTokensToLearnFrom) {
 			return;
 		}
 
-		// The time to the first token holds queueing, foreseen or not, so that
-		// it bounds the time of computing from above; only a request that met
-		// a quiet engine may raise the estimate.
+		// The time to first token includes queueing, expected or not, so it is an
+		// upper bound of the computing time. Only a request that met an idle engine
+		// may raise the estimate.
 		const bound = firstTokenMs / workedTokens;
 		if (bound < engine.msPerToken) {
 			engine.msPerToken = bound;
-		} else if (queuedMs < firstTokenMs * quietShare) {
-			engine.msPerToken *= Math.min(1 + raiseStep, bound / engine.msPerToken);
+		} else if (queuedMs < firstTokenMs * maxIdleQueueShare) {
+			engine.msPerToken *= Math.min(1 + maxRaise, bound / engine.msPerToken);
 		}
 	},
 	learnGenerating(engine, durationMs) {
-		engine.generatingMs = engine.generatingMs === 0 ? durationMs : engine.generatingMs + (generatingStep * (durationMs - engine.generatingMs));
+		engine.generatingMs = engine.generatingMs === 0 ? durationMs : engine.generatingMs + (generatingSmoothing * (durationMs - engine.generatingMs));
 	},
 	learnSurvival(engine, ageMs, cached) {
 		if (cached && ageMs > engine.survivalMs / 2) {
-			engine.survivalMs = Math.min(longestSurvivalMs, Math.max(engine.survivalMs, ageMs * 2));
+			engine.survivalMs = Math.min(maxSurvivalMs, Math.max(engine.survivalMs, ageMs * 2));
 		} else if (!cached && ageMs < engine.survivalMs) {
-			engine.survivalMs = Math.max(shortestSurvivalMs, (engine.survivalMs * 0.7) + (ageMs * 0.3));
+			engine.survivalMs = Math.max(minSurvivalMs, (engine.survivalMs * 0.7) + (ageMs * 0.3));
 		}
 	},
 	forget,
--- a/packages/router/src/lib/routing/engine-record.ts
+++ b/packages/router/src/lib/routing/engine-record.ts
@@ -1,49 +1,49 @@
 /**
- * What one router knows of one endpoint, as plain data: there are thousands of
- * them, most of them idle. `engine-model.ts` has the arithmetic.
+ * State that one router keeps for one endpoint, as plain data: there are
+ * thousands of them, most of them idle. `engine-model.ts` holds the estimates.
  */
 import {seedOfName} from './rendezvous.js';
 
-/** A request that this router started and that has not ended. */
-export type OwnStart = {
+/** A request that this router sent and that has not ended. */
+export type LocalRequest = {
 	readonly at: number;
-	/** Milliseconds that the engine is thought to compute for it. */
+	/** Estimated milliseconds that the engine computes for it. */
 	readonly workMs: number;
 };
 
-/** The newest load that an engine told. */
-export type ToldLoad = {
-	/** When it held true, on the monotonic clock. */
+/** The newest load that an engine reported. */
+export type ReportedLoad = {
+	/** When it was measured, on the monotonic clock. */
 	takenAt: number;
 	pendingPromptTokens: number;
 	waiting: number;
 	running: number;
 };
 
-/** Own requests at an endpoint. */
-export type OwnRequests = {
-	/** Those that have not ended, the oldest first. */
-	open: Set<OwnStart>;
-	/** Those that the newest load can't have seen. */
-	untold: OwnStart[];
+/** Requests of this router at an endpoint. */
+export type LocalRequests = {
+	/** Requests that have not ended, oldest first. */
+	inFlight: Set<LocalRequest>;
+	/** Requests sent after the newest load was measured. */
+	unreported: LocalRequest[];
 };
 
 /** One endpoint as one router sees it. */
 export type EngineRecord = {
 	readonly name: string;
-	/** Seed of the endpoint in rendezvous hashing, from its name alone. */
+	/** Seed of the endpoint in rendezvous hashing, derived from its name alone. */
 	readonly seed: number;
-	/** Whether new work may go there, as configuration and membership say. */
+	/** Whether configuration and membership allow new work there. */
 	usable: boolean;
-	/** Time there and back over the network, in milliseconds. */
+	/** Network round-trip time, in milliseconds. */
 	roundTripMs: number;
-	/** Process of the engine; empty until it is known. */
+	/** Incarnation of the engine's process; empty until known. */
 	incarnation: string;
-	/** Processes that others have followed; late news of them says nothing of now. */
+	/** Processes that have been replaced by newer ones; late reports from them are ignored. */
 	deadIncarnations: readonly string[];
-	/** Weights version that the engine runs; empty until it is known. */
+	/** Weights version that the engine runs; empty until known. */
 	version: string;
-	/** Grows whenever the engine's cache is known to be lost. */
+	/** Incremented whenever the engine's cache is known to be lost. */
 	generation: number;
 	/** When the cache was last lost, on the monotonic clock. */
 	lostAt: number;
@@ -51,25 +51,25 @@
 	msPerToken: number;
 	/** Learned time from the first token to the last, in milliseconds. */
 	generatingMs: number;
-	/** Learned time for which a cached prefix stays cached without use, in milliseconds. */
+	/** Learned time for which an unused prefix stays cached, in milliseconds. */
 	survivalMs: number;
-	/** Adapters in use lately; the newest last. */
+	/** Recently used adapters, the newest last. */
 	adapters: readonly string[];
-	/** Own requests started and not finished. */
-	unfinished: number;
-	/** Absent until something was told. */
-	told?: ToldLoad;
-	/** Absent until a first request was sent there. */
-	own?: OwnRequests;
+	/** Number of local requests that have not ended. */
+	inFlightCount: number;
+	/** Absent until the engine has reported a load. */
+	reportedLoad?: ReportedLoad;
+	/** Absent until this router has sent a first request there. */
+	localRequests?: LocalRequests;
 };
 
-/** Time for which prefixes are thought to survive before anything was learned. */
-export const longestSurvivalMs = 600_000;
+/** Upper bound and initial value of `survivalMs`. */
+export const maxSurvivalMs = 600_000;
 
 const none: readonly string[] = [];
 
 /**
- * The record of an endpoint of which nothing is known.
+ * Creates the record of an endpoint of which nothing is known.
  * @internal
  */
 export const createEngineRecord = (name: string, initialMsPerToken: number): EngineRecord => ({
@@ -84,9 +84,9 @@
 	lostAt: Number.NEGATIVE_INFINITY,
 	msPerToken: initialMsPerToken,
 	generatingMs: 0,
-	survivalMs: longestSurvivalMs,
+	survivalMs: maxSurvivalMs,
 	adapters: none,
-	unfinished: 0,
-	told: undefined,
-	own: undefined,
+	inFlightCount: 0,
+	reportedLoad: undefined,
+	localRequests: undefined,
 });
--- a/packages/router/src/lib/routing/health.ts
+++ b/packages/router/src/lib/routing/health.ts
@@ -1,47 +1,47 @@
 /**
- * Which endpoints are kept out for a while because requests to them failed.
+ * Temporarily ejects endpoints whose requests fail.
  *
  * Ejection needs evidence, ends by itself, and is limited to a share of a
- * service: when everything fails, the fault is not in single endpoints, and
- * taking them out would load the rest still more until none is left.
+ * service: when everything fails, the cause is not a single endpoint, and
+ * ejecting endpoints would overload the rest until none is left.
  */
 
-/** How endpoints are ejected and taken back. */
+/** When endpoints are ejected and how they return. */
 export type HealthOptions = {
-	/** Failures in a row that eject. Default 3. */
+	/** Consecutive failures that eject an endpoint. Default 3. */
 	consecutiveFailures?: number;
-	/** Share of failed requests in the window that ejects. Default 0.5. */
+	/** Share of failed requests in the window that ejects an endpoint. Default 0.5. */
 	failedShare?: number;
-	/** Fewest requests in the window for the share to count. Default 10. */
+	/** Minimum number of requests in the window for the share to count. Default 10. */
 	fewestRequests?: number;
 	/** Length of the window in milliseconds. Default 10,000. */
 	windowMs?: number;
-	/** First ejection in milliseconds; each further one doubles. Default 2,000. */
+	/** First ejection in milliseconds; each further one is twice as long. Default 2,000. */
 	ejectionMs?: number;
 	/** Longest ejection in milliseconds. Default 60,000. */
 	longestEjectionMs?: number;
-	/** Largest share of a service that is ejected at once. Default 0.34; one endpoint of several always may be. */
+	/** Maximum share of a service that is ejected at once. Default 0.34; in a service of several endpoints one may always be ejected. */
 	maxEjectedShare?: number;
-	/** Time in milliseconds in which a returning endpoint comes back to a full share. Default 10,000. */
+	/** Time in milliseconds over which a returning endpoint gets back to a full share. Default 10,000. */
 	returnMs?: number;
 };
 
-/** Whether an endpoint may be used, and how far. */
+/** Whether an endpoint may be used: fully, with few requests at once, or not at all. */
 export type EndpointHealth = 'healthy' | 'returning' | 'ejected';
 
-/** Keeps the health of endpoints; time is the monotonic clock. */
+/** Tracks the health of endpoints, on the monotonic clock. */
 export type HealthTracker = {
-	/** The endpoints of a service; those left out are forgotten. */
+	/** Sets the endpoints of a service; state of endpoints that are not listed is dropped. */
 	setEndpoints: (service: string, endpoints: readonly string[]) => void;
-	/** A request was answered. */
+	/** Records an answered request. */
 	succeeded: (endpoint: string) => void;
-	/** A request failed, and the endpoint is to blame. */
+	/** Records a failure that the endpoint caused. */
 	failed: (endpoint: string) => void;
-	/** The endpoint's health now. */
+	/** Current health of an endpoint. */
 	healthOf: (endpoint: string) => EndpointHealth;
-	/** Requests that may run there at once; infinite for a healthy endpoint. */
+	/** Maximum number of concurrent requests there; infinite for a healthy endpoint. */
 	roomOf: (endpoint: string) => number;
-	/** Endpoints of a service that are ejected now. */
+	/** Endpoints of a service that are currently ejected. */
 	ejectedOf: (service: string) => string[];
 };
 
@@ -62,11 +62,11 @@
 	service, failuresInRow: 0, windowFrom: never, requests: 0, failures: 0, ejections: 0, ejectedUntil: never, returnedAt: never,
 });
 
-const longestDoubling = 10;
+const maxDoublings = 10;
 const requestsWhileReturning = 8;
 
 /**
- * Opens a health tracker.
+ * Creates a health tracker.
  *
  * @example
  * const health = createHealthTracker({maxEjectedShare: 0.3});
@@ -94,7 +94,7 @@
 		entry.ejectedUntil <= now && now < entry.returnedAt + returnMs;
 
 	const eject = (entry: Entry, now: number): void => {
-		const duration = Math.min(longestEjectionMs, ejectionMs * (2 ** Math.min(longestDoubling, entry.ejections)));
+		const duration = Math.min(longestEjectionMs, ejectionMs * (2 ** Math.min(maxDoublings, entry.ejections)));
 		entry.ejections++;
 		entry.ejectedUntil = now + duration;
 		entry.returnedAt = entry.ejectedUntil;
@@ -113,7 +113,7 @@
 		entry.requests++;
 	};
 
-	const isGuilty = (entry: Entry, now: number): boolean =>
+	const shouldEject = (entry: Entry, now: number): boolean =>
 		entry.failuresInRow >= consecutiveFailures
 		|| isReturning(entry, now)
 		|| (entry.requests >= fewestRequests && entry.failures >= entry.requests * failedShare);
@@ -169,7 +169,7 @@
 			count(entry, now);
 			entry.failures++;
 			entry.failuresInRow++;
-			if (entry.ejectedUntil <= now && isGuilty(entry, now) && mayEject(entry.service, now)) {
+			if (entry.ejectedUntil <= now && shouldEject(entry, now) && mayEject(entry.service, now)) {
 				eject(entry, now);
 			}
 		},
--- a/packages/router/src/lib/routing/home-order.ts
+++ b/packages/router/src/lib/routing/home-order.ts
@@ -1,25 +1,26 @@
 /**
- * Where a prefix belongs: an order of endpoints computed from the prefix's hash
- * and the endpoints' names alone (rendezvous hashing). Every router, a
- * restarted one included, computes the same order; an endpoint that comes or
- * goes moves only what belongs to itself.
+ * Orders the endpoints for a prefix by rendezvous hashing, from the prefix's hash
+ * and the endpoints' names alone. Every router, also a restarted one, computes
+ * the same order; adding or removing an endpoint moves only the prefixes that
+ * have it as a home.
  */
 import {LRUCache} from 'lru-cache';
 import {type EngineRecord} from './engine-record.js';
 import {halvesOf, rankOf} from './rendezvous.js';
 
-/** Orders endpoints for prefixes; made anew when the endpoints change. */
+/** Order of endpoints for each prefix; created anew when the endpoints change. */
 export type HomeOrder = {
-	/** At least the first `wanted` homes of a prefix, where there are so many and `longest` allows; the best first. */
+	/** At least the first `wanted` homes of a prefix, as far as there are so many and `longest` allows; best first. */
 	of: (hash: bigint, wanted: number) => readonly EngineRecord[];
 };
 
-/** Most prefixes have few homes: a short order is quicker to make. */
-const shortestOrder = 8;
+/** Most prefixes have few homes, and a short order is faster to compute. */
+const minOrderLength = 8;
 
 /**
- * Opens the order over some endpoints. Ranks of all endpoints are computed
- * once for a prefix, again when it needs a longer order, and kept for the `remembered` prefixes used last.
+ * Creates the order over some endpoints. The ranks of all endpoints are computed
+ * once for a prefix, and again when it needs a longer order; orders are cached
+ * for the `remembered` most recently used prefixes.
  * @internal
  */
 export const createHomeOrder = (engines: readonly EngineRecord[], longest: number, remembered: number): HomeOrder => {
@@ -27,7 +28,7 @@
 	const seeds = Int32Array.from(engines, engine => engine.seed);
 	const ranks = new Int32Array(longest + 1);
 
-	/** Puts an endpoint in its place among the `filled` first ones; the last may fall out. */
+	/** Inserts an endpoint by rank among the `filled` first ones; the last may drop out. */
 	const insert = (first: EngineRecord[], filled: number, rank: number, engine: EngineRecord): void => {
 		let place = filled;
 		while (place > 0 && ranks[place - 1] > rank) {
@@ -40,7 +41,7 @@
 		first[place] = engine;
 	};
 
-	/** Keeps the lowest ranks by insertion, which is rare once the first are found. */
+	/** Keeps the lowest ranks by insertion sort; insertions are rare once the first few are found. */
 	const compute = (hash: bigint, length: number): readonly EngineRecord[] => {
 		const halves = halvesOf(hash);
 		const first: EngineRecord[] = [];
@@ -63,7 +64,7 @@
 			let order = known.get(hash);
 			const most = Math.min(longest, engines.length);
 			if (order === undefined || (order.length < wanted && order.length < most)) {
-				const length = Math.min(most, Math.max(shortestOrder, 2 * wanted));
+				const length = Math.min(most, Math.max(minOrderLength, 2 * wanted));
 				order = compute(hash, length);
 				known.set(hash, order);
 			}
--- a/packages/router/src/lib/routing/home-sets.ts
+++ b/packages/router/src/lib/routing/home-sets.ts
@@ -1,19 +1,20 @@
 /**
- * Where a prompt belongs, level by level. Each prefix has a set of homes inside
- * the set of the shallower prefix around it, ordered by rendezvous hashing; the
- * set is as large as the prefix's share of the requests asks for. So a hot
- * shallow prefix has many homes, a cold deep one has one of these, and routers
- * that see like shares compute like sets without a word between them.
+ * Computes the homes of a prompt, level by level. The homes of a prefix are a
+ * subset of the homes of the shallower prefix around it, ordered by rendezvous
+ * hashing; the size of the set follows the prefix's share of requests. A hot
+ * shallow prefix thus has many homes and a cold deep one has one of these, and
+ * routers that estimate similar shares compute similar sets without
+ * communicating.
  *
- * Sizes are fractions: the last home counts in part. A router whose estimate of
- * a share is a little higher then moves only that little of the deeper
- * prefixes, where rounded sizes would move a whole home's part at a time.
+ * Sizes are fractional: the last home counts in part. A slightly higher estimate
+ * of a share then moves only a few of the deeper prefixes, whereas rounded sizes
+ * would move the prefixes of a whole home at once.
  */
 import {type EngineRecord} from './engine-record.js';
 import {type PrefixLevel} from './prefix-levels.js';
 import {halvesOf, uniformRankOf} from './rendezvous.js';
 
-/** A set of homes; the last of them counts in part. */
+/** A set of homes; `lastWeight` is the part by which the last one counts. */
 type HomeSet = {
 	engines: readonly EngineRecord[];
 	lastWeight: number;
@@ -21,23 +22,23 @@
 
 /** The homes of one prompt. */
 export type HomePath = {
-	/** Homes worth looking at, those of the deepest level first. */
+	/** Homes to consider, those of the deepest level first. */
 	considered: readonly EngineRecord[];
-	/** How many of these are homes of the deepest level. */
-	deepest: number;
-	/** Depth down to which these are homes of levels that are known. */
+	/** How many of `considered` are homes of the deepest level. */
+	deepestCount: number;
+	/** Depth down to which these are homes of known levels. */
 	deepestDepth: number;
-	/** Depth down to which the others are. */
+	/** Depth down to which the other `considered` homes are homes of known levels. */
 	otherDepth: number;
 };
 
-/** The first `size` of some engines, the last one in part. */
+/** Takes the first `size` engines, the last one in part. */
 const takeHomes = (engines: readonly EngineRecord[], size: number): HomeSet => {
 	const count = Math.min(engines.length, Math.ceil(size));
 	return {engines: engines.slice(0, count), lastWeight: Math.min(1, size - count + 1)};
 };
 
-/** Orders homes for a prefix by weighted rendezvous hashing and keeps the first of them. */
+/** Orders homes for a prefix by weighted rendezvous hashing and keeps the first `longest`. */
 const orderFor = ({engines, lastWeight}: HomeSet, level: PrefixLevel, longest: number): EngineRecord[] => {
 	const halves = halvesOf(level.hash);
 	const scores: number[] = [];
@@ -66,10 +67,10 @@
 };
 
 /**
- * Walks down the levels.
- * @param root Homes of the shallowest level, in order; those behind its size are left out.
- * @param sizes How many homes each level asks for; 0 when nothing is known of it.
- * @param longest Most homes that are considered, and most of a level below the root.
+  * Narrows the homes level by level, from the shallowest to the deepest.
+  * @param root Homes of the shallowest level, in order; those beyond its size are ignored.
+  * @param sizes Number of homes of each level; 0 when nothing is known of it.
+  * @param longest Maximum number of homes considered, and of homes of a level below the root.
  */
 export const walkHomes = (root: readonly EngineRecord[], levels: readonly PrefixLevel[], sizes: readonly number[], longest: number): HomePath => {
 	let homes = takeHomes(root, Math.max(1, sizes[0]));
@@ -97,6 +98,6 @@
 	const deepest = homes.engines.slice(0, longest);
 	const others = considered?.filter(engine => !deepest.includes(engine)) ?? [];
 	return {
-		considered: [...deepest, ...others], deepest: deepest.length, deepestDepth, otherDepth,
+		considered: [...deepest, ...others], deepestCount: deepest.length, deepestDepth, otherDepth,
 	};
 };
--- a/packages/router/src/lib/routing/placement-snapshot.ts
+++ b/packages/router/src/lib/routing/placement-snapshot.ts
@@ -1,18 +1,18 @@
 /**
- * What a placer hands to one that starts without a memory: shares of the
- * hottest prefixes and their endpoints, and the speeds of endpoints. Computed
- * homes need none of it; the shares tell how many homes a hot prefix has, so
- * that a restarted router spreads it from its first request on.
+ * State that a placer passes to one that starts empty: request shares of the
+ * hottest prefixes with their endpoints, and the speeds of endpoints. Computed
+ * homes need none of it, but the shares decide how many homes a hot prefix has,
+ * so that a restarted router spreads it from its first request on.
  */
 import {z} from 'zod';
 import {LayerError} from '../errors/layer-error.js';
 import {type EngineRecord} from './engine-record.js';
 import {
-	fadedValue, isAlive, type FadingCount, type PrefixMemory,
+	decayedValue, isCurrent, type DecayingCount, type PrefixMemory,
 } from './prefix-memory.js';
 import {type ServiceTable} from './service-table.js';
 
-/** A snapshot can't be read; the placer is as it was. */
+/** A snapshot can't be parsed; the placer's state has not changed. */
 export class PlacementSnapshotError extends LayerError {
 	readonly code = 'placement_snapshot_invalid';
 }
@@ -27,24 +27,24 @@
 	engines: z.array(z.strictObject({
 		name: z.string(), incarnation: z.string(), version: z.string(), msPerToken: z.number().positive(), survivalMs: z.number().positive(),
 	})),
-	/** Hash in hexadecimal, requests, requests before the first, and pairs of an engine's index and the age of its use. */
+	/** Hash in hexadecimal, request count, requests of the service before the first one, and pairs of an index into `engines` and the milliseconds since the last use there. */
 	prefixes: z.array(z.tuple([z.string().regex(/^[\da-f]{1,16}$/v), count, count, z.array(z.tuple([z.number().int().nonnegative(), count]))])),
 });
 
 type Snapshot = z.infer<typeof snapshotSchema>;
 
-/** What a snapshot is taken of and restored to. */
+/** State that a snapshot is taken of and restored to. */
 export type SnapshotParts = {
 	table: ServiceTable;
 	memory: PrefixMemory;
 };
 
 const serviceLines = (table: ServiceTable, now: number): Snapshot['services'] => [...table.all()].map(service => ({
-	name: service.name, requests: fadedValue(service.requests, now), hopedPieces: service.hopedPieces, metPieces: service.metPieces,
+	name: service.name, requests: decayedValue(service.requests, now), hopedPieces: service.expectedPieces, metPieces: service.hitPieces,
 }));
 
 /**
- * Takes a snapshot of at most `mostPrefixes` prefixes, those used last.
+ * Takes a snapshot of the most recently used prefixes, at most `mostPrefixes`.
  * @internal
  */
 export const takeSnapshot = ({table, memory}: SnapshotParts, mostPrefixes: number): Uint8Array => {
@@ -58,13 +58,13 @@
 
 		const uses: Array<[number, number]> = [];
 		for (const [engine, home] of homes) {
-			if (isAlive(home, engine)) {
+			if (isCurrent(home, engine)) {
 				indexes.set(engine, indexes.get(engine) ?? indexes.size);
 				uses.push([indexes.get(engine)!, now - home.usedAt]);
 			}
 		}
 
-		prefixes.push([piece.toString(16), fadedValue(requests, now), fadedValue(before, now), uses]);
+		prefixes.push([piece.toString(16), decayedValue(requests, now), decayedValue(before, now), uses]);
 	}
 
 	const snapshot: Snapshot = {
@@ -82,11 +82,11 @@
 	try {
 		return snapshotSchema.parse(JSON.parse(new TextDecoder().decode(content)));
 	} catch (error) {
-		throw new PlacementSnapshotError('A peer\'s placement snapshot does not fit its schema. Placement goes on without it; check that peers run a like build.', {cause: error});
+		throw new PlacementSnapshotError('A peer\'s placement snapshot does not match the schema. Placement continues without it; check that peers run a compatible build.', {cause: error});
 	}
 };
 
-/** Takes over what is said of an engine, unless another process of it is known here. */
+/** Takes over the data of an engine, unless a different process or version of it is known here. */
 const restoreEngine = (table: ServiceTable, line: Snapshot['engines'][number]): EngineRecord | undefined => {
 	const engine = table.engineOf(line.name);
 	if (engine === undefined || (engine.incarnation !== '' && engine.incarnation !== line.incarnation) || (engine.version !== '' && engine.version !== line.version)) {
@@ -103,16 +103,16 @@
 	return engine;
 };
 
-const restoreCount = (own: FadingCount, value: number, now: number): void => {
-	if (own.value === 0) {
-		own.value = value;
-		own.at = now;
+const restoreCount = (target: DecayingCount, value: number, now: number): void => {
+	if (target.value === 0) {
+		target.value = value;
+		target.at = now;
 	}
 };
 
 /**
- * Adds what a peer knows to what is known here; own knowledge stands. Homes of
- * an engine that is known here by another process or version are left out.
+ * Adds a peer's state to this placer's; existing values are kept. Homes of an
+ * engine that is known here with a different process or version are left out.
  * @throws {PlacementSnapshotError} when the content is not a snapshot.
  * @internal
  */
@@ -123,15 +123,15 @@
 		const service = table.serviceOf(line.name);
 		if (service?.requests.value === 0) {
 			restoreCount(service.requests, line.requests, now);
-			service.hopedPieces = line.hopedPieces;
-			service.metPieces = line.metPieces;
+			service.expectedPieces = line.hopedPieces;
+			service.hitPieces = line.metPieces;
 		}
 	}
 
 	const engines = snapshot.engines.map(line => restoreEngine(table, line));
-	// The last used goes in last, so that it is forgotten last.
+	// The most recently used prefix is added last, so that it is evicted last.
 	for (const [hash, requests, before, uses] of snapshot.prefixes.toReversed()) {
-		const known = memory.open(BigInt(`0x${hash}`));
+		const known = memory.getOrCreate(BigInt(`0x${hash}`));
 		restoreCount(known.requests, requests, now);
 		restoreCount(known.before, before, now);
 		for (const [index, ageMs] of uses) {
--- a/packages/router/src/lib/routing/placer.ts
+++ b/packages/router/src/lib/routing/placer.ts
@@ -1,43 +1,43 @@
 /**
- * Decides where requests go. Candidates are compared by one cost, the
- * milliseconds until the first token: queueing, computing the part of the
- * prompt that is not cached, loading an adapter, and the network. Where a
- * prefix belongs is computed, and answers correct it (docs/design/routing.md).
+ * Decides where requests go. Candidates are compared by one cost, the estimated
+ * milliseconds until the first token: queueing, computing the part of the prompt
+ * that is not cached, loading an adapter, and the network. The homes of a prefix
+ * are computed and then corrected by answers (docs/design/routing.md).
  */
 import {type Placement, type PlacementRequest, type Placer} from '../serving/ports.js';
 import {createCandidateFinder, type Candidate, type CandidateSearch} from './candidates.js';
 import {createEngineModel} from './engine-model.js';
-import {type EngineRecord, type OwnStart} from './engine-record.js';
+import {type EngineRecord, type LocalRequest} from './engine-record.js';
 import {createHealthTracker} from './health.js';
 import {fillPlacerOptions, type PlacementEndpoint, type PlacerOptions} from './placement-options.js';
-import {addFading, createPrefixMemory} from './prefix-memory.js';
+import {addDecaying, createPrefixMemory} from './prefix-memory.js';
 import {restoreSnapshot, takeSnapshot} from './placement-snapshot.js';
 import {levelsOf, type PrefixLevel} from './prefix-levels.js';
 import {createServiceTable, type ServiceEntry} from './service-table.js';
 
-/** A placer that learns from outcomes. */
+/** A placer that learns from the outcomes of requests. */
 export type LearningPlacer = Placer & {
-	/** Tells all endpoints, when configuration or membership changed; cheap when little did. */
+	/** Sets all endpoints after configuration or membership changed; cheap when little did. */
 	setEndpoints: (endpoints: readonly PlacementEndpoint[]) => void;
 	/**
-	 * A cache event: prefixes are no longer cached. Events may be thinned, late
-	 * or lost; those of another process of the engine change nothing.
+	 * Takes in a cache event: prefixes are no longer cached. Events may be sampled,
+	 * late or lost; those of another process of the engine are ignored.
 	 */
 	evicted: (endpoint: string, incarnation: string, pieces: readonly bigint[]) => void;
-	/** What a restarted peer needs to place as this placer does: at most `mostPrefixes` prefixes, 100 to 200 bytes each. */
+	/** Returns what a restarted peer needs to place as this placer does: at most `mostPrefixes` prefixes, 100 to 200 bytes each. */
 	snapshot: (mostPrefixes: number) => Uint8Array;
 	/**
-	 * Takes over a peer's snapshot where nothing is known yet; endpoints have to be set before.
-	 * @throws {PlacementSnapshotError} when it is not one; nothing has changed then.
+	 * Takes over a peer's snapshot where nothing is known yet; call `setEndpoints` before.
+	 * @throws {PlacementSnapshotError} when the content is not a snapshot; nothing has changed then.
 	 */
 	restore: (content: Uint8Array) => void;
-	/** Endpoints of a service that are ejected now, for reports. */
+	/** Endpoints of a service that are currently ejected, for reports. */
 	ejectedOf: (service: string) => string[];
-	/** Prefixes remembered now, for reports. */
+	/** Number of prefixes remembered, for reports. */
 	rememberedPrefixes: () => number;
 };
 
-/** What a decision rested on, until its outcome is known. */
+/** Basis of a decision, kept until its outcome is known. */
 type Decision = {
 	engine: EngineRecord;
 	generation: number;
@@ -45,17 +45,17 @@
 	levels: readonly PrefixLevel[];
 	candidate: Candidate;
 	queueMs: number;
-	/** Milliseconds that the engine is thought to compute for the request. */
+	/** Estimated milliseconds that the engine computes for the request. */
 	workMs: number;
-	/** Set once the request has left. */
-	start?: OwnStart;
+	/** Set once the request has been sent. */
+	start?: LocalRequest;
 };
 
-const trustStep = 0.01;
+const hitRateStep = 0.01;
 const adaptersRemembered = 4;
 
 /**
- * Opens a placer without endpoints.
+ * Creates a placer without endpoints.
  *
  * @example
  * const placer = createPlacer({random: Math.random});
@@ -74,13 +74,14 @@
 	const decisions = new WeakMap<Placement, Decision>();
 
 	/**
-	 * Pieces that may be cached: those that answers have shown, and of the rest
-	 * what computed homes are trusted with, since peers place there as well.
+	 * Expected number of cached pieces: those that answers have shown, and of the
+	 * others that a computed home should have, the share `hitRate`, since peers place
+	 * there as well.
 	 */
-	const hopedPieces = (candidate: Candidate, pieces: number, trust: number): number => {
+	const expectedPieces = (candidate: Candidate, pieces: number, hitRate: number): number => {
 		const shown = candidate.cachedPieces;
 		const hoped = candidate.isHome ? pieces : candidate.homeDepth;
-		return shown + (trust * Math.max(0, hoped - shown));
+		return shown + (hitRate * Math.max(0, hoped - shown));
 	};
 
 	const adapterMs = (engine: EngineRecord, adapter: string): number =>
@@ -95,9 +96,9 @@
 		for (const candidate of finder.search(search)) {
 			const {engine} = candidate;
 			const queued = model.queueMs(engine, now);
-			const missing = Math.max(0, request.promptTokens - (hopedPieces(candidate, request.pieces.length, service.metPieces / service.hopedPieces) * service.pieceTokens));
-			const computing = missing * engine.msPerToken;
-			const charged = Math.max(0, request.promptTokens - (hopedPieces(candidate, request.pieces.length, options.homeCredit) * service.pieceTokens)) * engine.msPerToken;
+			const missingTokens = Math.max(0, request.promptTokens - (expectedPieces(candidate, request.pieces.length, service.hitPieces / service.expectedPieces) * service.pieceTokens));
+			const computing = missingTokens * engine.msPerToken;
+			const charged = Math.max(0, request.promptTokens - (expectedPieces(candidate, request.pieces.length, options.homeCredit) * service.pieceTokens)) * engine.msPerToken;
 			const cost = queued + (charged * options.recomputeWeight) + adapterMs(engine, request.adapter) + engine.roundTripMs;
 			if (cost < least) {
 				least = cost;
@@ -123,16 +124,16 @@
 		engine.adapters = [...engine.adapters.filter(name => name !== adapter), adapter].slice(-adaptersRemembered);
 	};
 
-	/** How much of what was not known to be cached a computed home had after all, by pieces. */
-	const learnTrust = ({candidate, service}: Decision, cachedPieces: number, pieces: number): void => {
+	/** Learns the hit rate of computed homes: the share of pieces not known to be cached that were cached after all. */
+	const learnHomeHitRate = ({candidate, service}: Decision, cachedPieces: number, pieces: number): void => {
 		const hoped = candidate.isHome ? pieces : candidate.homeDepth;
 		const unknown = hoped - candidate.depth;
 		if (unknown <= 0) {
 			return;
 		}
 
-		service.hopedPieces = (service.hopedPieces * (1 - trustStep)) + unknown;
-		service.metPieces = (service.metPieces * (1 - trustStep)) + Math.max(0, Math.min(unknown, cachedPieces - candidate.depth));
+		service.expectedPieces = (service.expectedPieces * (1 - hitRateStep)) + unknown;
+		service.hitPieces = (service.hitPieces * (1 - hitRateStep)) + Math.max(0, Math.min(unknown, cachedPieces - candidate.depth));
 	};
 
 	const learnFromAnswer = (request: PlacementRequest, decision: Decision, cachedTokens: number, firstTokenMs: number | undefined): void => {
@@ -147,7 +148,7 @@
 			model.learnSurvival(engine, candidate.ageMs, cachedPieces >= candidate.depth);
 		}
 
-		learnTrust(decision, cachedPieces, request.pieces.length);
+		learnHomeHitRate(decision, cachedPieces, request.pieces.length);
 		memory.learn(decision.levels, engine, performance.now());
 	};
 
@@ -190,10 +191,10 @@
 			const {engine} = decision;
 			const now = performance.now();
 			memory.count(decision.levels, decision.service.requests, now);
-			addFading(decision.service.requests, now, 1);
+			addDecaying(decision.service.requests, now, 1);
 			decision.start = model.start(engine, now, decision.workMs);
 			learnAdapter(engine, request.adapter);
-			// Requests that follow at once find the prefix computed by this one.
+			// Requests that follow immediately can reuse the prefix that this one computes.
 			memory.learn(decision.levels, engine, now);
 		},
 		finished(request, placement, outcome) {
@@ -205,7 +206,7 @@
 			decisions.delete(placement);
 			const {engine} = decision;
 			model.finish(engine, decision.start);
-			const isNews = outcome.load === undefined || model.tell(engine, performance.now(), outcome.load, 0);
+			const isLiveProcess = outcome.load === undefined || model.applyLoad(engine, performance.now(), outcome.load, 0);
 			if (outcome.result === 'failed') {
 				health.failed(engine.name);
 				memory.forget(decision.levels.map(level => level.hash), engine);
@@ -217,7 +218,7 @@
 			}
 
 			health.succeeded(engine.name);
-			const isCurrent = outcome.load === undefined ? engine.generation === decision.generation : isNews;
+			const isCurrent = outcome.load === undefined ? engine.generation === decision.generation : isLiveProcess;
 			if (isCurrent) {
 				learnFromAnswer(request, decision, outcome.cachedTokens, outcome.firstTokenMs);
 			}
@@ -225,7 +226,7 @@
 		observe(endpoint, load) {
 			const engine = table.engineOf(endpoint);
 			if (engine !== undefined) {
-				model.tell(engine, performance.now(), load, options.reportLagMs);
+				model.applyLoad(engine, performance.now(), load, options.reportLagMs);
 			}
 		},
 		evicted(endpoint, incarnation, pieces) {
--- a/packages/router/src/lib/routing/prefix-levels.ts
+++ b/packages/router/src/lib/routing/prefix-levels.ts
@@ -1,11 +1,12 @@
 /**
- * Which pieces of a prompt are looked at. Prompts share prefixes at few depths,
- * unknown beforehand; a long record has a hundred pieces and more. Depths that
- * grow by about a third at each step keep both the work for a decision and the
- * memory small, and lose at most a quarter of a shared prefix to rounding.
+ * Selects the depths of a prompt at which prefixes are tracked. Prompts share
+ * prefixes at few depths, which are not known beforehand; a long prompt has a
+ * hundred pieces and more. Depths that grow by about a third at each step keep
+ * both the work of a decision and the memory small, and lose at most a quarter of
+ * a shared prefix to rounding.
  */
 
-/** A prefix of a prompt: its hash and how many pieces it has. */
+/** A prefix of a prompt: its hash and its length in pieces. */
 export type PrefixLevel = {
 	hash: bigint;
 	depth: number;
@@ -20,11 +21,11 @@
 	return depths;
 };
 
-/** Prompts of more pieces than this are cut for placement only. */
-const longestPrompt = 4096;
-const depths = depthsUpTo(longestPrompt);
+/** Longer prompts are truncated to this many pieces, for placement only. */
+const maxPieces = 4096;
+const depths = depthsUpTo(maxPieces);
 
-/** The levels of a prompt, shallow to deep; the deepest piece is always one. */
+/** Returns the levels of a prompt from shallow to deep; the deepest piece is always included. */
 export const levelsOf = (pieces: readonly bigint[]): PrefixLevel[] => {
 	const levels: PrefixLevel[] = [];
 	for (const depth of depths) {
--- a/packages/router/src/lib/routing/prefix-memory.ts
+++ b/packages/router/src/lib/routing/prefix-memory.ts
@@ -1,77 +1,77 @@
 /**
- * What requests and answers have taught about prefixes: how large a share of
- * the requests has each, and which few endpoints served it. The number of
- * prefixes is bounded, the least recently used forgotten first. It corrects the
- * computed homes; it is no index of what is cached.
+ * What requests and answers have shown about prefixes: the share of requests that
+ * each has, and the few endpoints that served it. The number of prefixes is
+ * bounded, and the least recently used is evicted first. It corrects the computed
+ * homes; it is not an index of what is cached.
  */
 import {LRUCache} from 'lru-cache';
 import {type EngineRecord} from './engine-record.js';
 import {type PrefixLevel} from './prefix-levels.js';
 
-/** What is known of a prefix at an endpoint that served it. */
+/** State of a prefix at an endpoint that served it. */
 export type WarmHome = {
-	/** Generation of the engine's cache at the time; another one has lost it. */
+	/** Generation of the engine's cache at the time; the prefix is lost when the engine's generation differs. */
 	generation: number;
 	/** When the prefix was last used there, on the monotonic clock. */
 	usedAt: number;
 };
 
-/** A prefix that is remembered. */
+/** A remembered prefix. */
 export type KnownPrefix = {
 	readonly homes: Map<EngineRecord, WarmHome>;
-	/** Requests with the prefix, older ones counting less. */
-	readonly requests: FadingCount;
-	/** Requests of its service that had come before the first one with the prefix. */
-	readonly before: FadingCount;
+	/** Requests with the prefix, with older ones decayed. */
+	readonly requests: DecayingCount;
+	/** Requests of its service before the first one with the prefix. */
+	readonly before: DecayingCount;
 };
 
-/** A count whose older part fades by halves. */
-export type FadingCount = {value: number; at: number};
+/** A count that decays exponentially. */
+export type DecayingCount = {value: number; at: number};
 
-/** Time in which a fading count loses half its value, in milliseconds. */
+/** Half-life of a decaying count, in milliseconds. */
 const halfLifeMs = 20_000;
 const decayPerMs = Math.LN2 / halfLifeMs;
 
-/** The value now. */
-export const fadedValue = (count: FadingCount, now: number): number =>
+/** Returns the decayed value at `now`. */
+export const decayedValue = (count: DecayingCount, now: number): number =>
 	count.value * Math.exp((count.at - now) * decayPerMs);
 
-/** Adds to the value. */
-export const addFading = (count: FadingCount, now: number, amount: number): void => {
-	count.value = fadedValue(count, now) + amount;
+/** Adds to the decayed value. */
+export const addDecaying = (count: DecayingCount, now: number, amount: number): void => {
+	count.value = decayedValue(count, now) + amount;
 	count.at = now;
 };
 
-/** The bounded memory. */
+/** A bounded memory of prefixes. */
 export type PrefixMemory = {
-	/** What is known of a prefix; callers compare the generation of each home. */
-	look: (piece: bigint) => KnownPrefix | undefined;
-	/** The same; a prefix that is not known is begun. */
-	open: (piece: bigint) => KnownPrefix;
-	/** A request with these prefixes was placed, one of `all` of its service. */
-	count: (levels: readonly PrefixLevel[], all: FadingCount, now: number) => void;
-	/** The prefixes were used at an endpoint now. */
+	/** Looks a prefix up; callers must check each home with {@link isCurrent}. */
+	get: (piece: bigint) => KnownPrefix | undefined;
+	/** Looks a prefix up, adding it when it is not known. */
+	getOrCreate: (piece: bigint) => KnownPrefix;
+	/** Counts a placed request with these prefixes; `all` is the count of its service's requests. */
+	count: (levels: readonly PrefixLevel[], all: DecayingCount, now: number) => void;
+	/** Records that the prefixes were used at an endpoint now. */
 	learn: (levels: readonly PrefixLevel[], engine: EngineRecord, now: number) => void;
-	/** The prefixes are not cached at an endpoint. */
+	/** Records that the prefixes are not cached at an endpoint. */
 	forget: (pieces: readonly bigint[], engine: EngineRecord) => void;
-	/** Prefixes kept. */
+	/** Number of prefixes remembered. */
 	size: () => number;
 	/** The prefixes, the most recently used first. */
 	entries: () => IterableIterator<[bigint, KnownPrefix]>;
 };
 
-/** Whether the engine's cache has not been lost since. */
-export const isAlive = (home: WarmHome, engine: EngineRecord): boolean => home.generation === engine.generation;
+/** Whether the engine's cache has not been lost since the prefix was used there. */
+export const isCurrent = (home: WarmHome, engine: EngineRecord): boolean => home.generation === engine.generation;
 
 /**
- * Opens a memory of at most `bound` prefixes with at most `homesEach`
- * endpoints each.
+ * Creates a memory of at most `bound` prefixes with at most `homesEach` endpoints
+ * each.
  * @internal
  */
 export const createPrefixMemory = (bound: number, homesEach: number): PrefixMemory => {
 	const prefixes = new LRUCache<bigint, KnownPrefix>({max: bound});
 
-	const open = (piece: bigint): KnownPrefix => {
+	const getOrCreate = (piece: bigint): KnownPrefix => {
 		let known = prefixes.get(piece);
 		if (known === undefined) {
 			known = {homes: new Map(), requests: {value: 0, at: 0}, before: {value: 0, at: 0}};
@@ -110,22 +110,22 @@
 	};
 
 	return {
-		look: piece => prefixes.get(piece),
-		open,
+		get: piece => prefixes.get(piece),
+		getOrCreate,
 		count(levels, all, now) {
 			for (const level of levels) {
-				const {requests, before} = open(level.hash);
+				const {requests, before} = getOrCreate(level.hash);
 				if (requests.value === 0) {
 					before.value = all.value;
 					before.at = all.at;
 				}
 
-				addFading(requests, now, 1);
+				addDecaying(requests, now, 1);
 			}
 		},
 		learn(levels, engine, now) {
 			for (const level of levels) {
-				learnOne(open(level.hash), engine, now);
+				learnOne(getOrCreate(level.hash), engine, now);
 			}
 		},
 		forget(pieces, engine) {
--- a/packages/router/src/lib/routing/prompt-pieces.ts
+++ b/packages/router/src/lib/routing/prompt-pieces.ts
@@ -1,11 +1,11 @@
 /**
- * Cuts prompts into the pieces in which engines cache them, and names each
- * piece by a hash of the whole prefix that ends with it.
+ * Splits prompts into pieces, the units in which engines cache them, and
+ * identifies each piece by a hash of the whole prefix that ends with it.
  */
 import xxhash from 'xxhash-wasm';
 import {cacheIdentityText, type CacheIdentity} from './cache-identity.js';
 
-/** How a service's engines cut prompts, as the document says. */
+/** Size of the pieces of a service's engines, from the configuration document. */
 export type PieceSize = {
 	/** Tokens in one piece. */
 	pieceTokens: number;
@@ -16,19 +16,19 @@
 /** Hashes the pieces of prompts. */
 export type PromptHasher = {
 	/**
-	 * One hash for each whole piece, shallow to deep. Each hash is chained to
-	 * the one before, the first to the identity: equal hashes mean equal
-	 * prefixes of the same identity. A rest shorter than a piece is left out,
-	 * since engines cache whole pieces only.
+	 * Returns one hash for each whole piece, from shallow to deep. Each hash is
+	 * chained to the previous one, the first to the identity: equal hashes mean
+	 * equal prefixes of the same identity. A remainder shorter than a piece is
+	 * left out, since engines cache whole pieces only.
 	 */
 	hash: (identity: CacheIdentity, prompt: string | Uint8Array, pieceBytes: number) => bigint[];
 };
 
-/** Bytes of UTF-8 in one piece; at least one. */
+/** Bytes of UTF-8 in one piece, at least 1. */
 export const pieceBytesOf = (size: PieceSize): number =>
 	Math.max(1, Math.floor(size.pieceTokens * size.bytesPerToken));
 
-/** Tokens of a prompt before an engine has counted them. */
+/** Estimates the number of tokens of a prompt before an engine has counted them. */
 export const estimatePromptTokens = (promptBytes: number, bytesPerToken: number): number =>
 	Math.ceil(promptBytes / bytesPerToken);
 
@@ -36,9 +36,10 @@
  * Loads the hash function (XXH64) and returns a hasher, which is then
  * synchronous.
  *
- * XXH64 is fast and not meant to withstand an attacker. That is enough here: a
- * workspace can forge collisions with its own prompts only, and a collision
- * misleads an estimate. The engine compares tokens before it reuses cache.
+ * XXH64 is fast but not collision-resistant against an attacker. That is
+ * sufficient here: a workspace can forge collisions with its own prompts only,
+ * and a collision only skews an estimate. The engine compares tokens before it
+ * reuses cache.
  *
  * @example
  * const hasher = await createPromptHasher();
--- a/packages/router/src/lib/routing/service-table.ts
+++ b/packages/router/src/lib/routing/service-table.ts
@@ -1,31 +1,31 @@
-/** The endpoints of each service, prepared for quick decisions. */
+/** The endpoints of each service, indexed for fast placement decisions. */
 import {type EngineModel} from './engine-model.js';
 import {createEngineRecord, type EngineRecord} from './engine-record.js';
 import {createHomeOrder, type HomeOrder} from './home-order.js';
-import {type FadingCount} from './prefix-memory.js';
+import {type DecayingCount} from './prefix-memory.js';
 import {type FilledPlacerOptions, type PlacementEndpoint} from './placement-options.js';
 
-/** One service with its endpoints. */
+/** A service with its endpoints. */
 export type ServiceEntry = {
 	name: string;
 	/** Sorted by name. */
 	engines: readonly EngineRecord[];
 	homes: HomeOrder;
-	/** Tokens in one piece as configured now; a change of configuration need not change the endpoints. */
+	/** Tokens in one piece as currently configured; a configuration change need not change the endpoints. */
 	readonly pieceTokens: number;
-	/** Pieces that computed homes were hoped to have, older ones counting less. */
-	hopedPieces: number;
-	/** Of these, the pieces that they had. */
-	metPieces: number;
-	/** Requests placed, older ones counting less. */
-	requests: FadingCount;
+	/** Pieces not known to be cached that computed homes were expected to have, with older ones decayed. */
+	expectedPieces: number;
+	/** Those of `expectedPieces` that were cached. */
+	hitPieces: number;
+	/** Requests placed, with older ones decayed. */
+	requests: DecayingCount;
 };
 
 /** All services. */
 export type ServiceTable = {
 	serviceOf: (name: string) => ServiceEntry | undefined;
 	engineOf: (name: string) => EngineRecord | undefined;
-	/** Replaces the list; what was learned of endpoints that stay is kept. */
+	/** Replaces all endpoints; what was learned of endpoints that stay is kept. */
 	set: (endpoints: readonly PlacementEndpoint[]) => void;
 	/** All services. */
 	all: () => Iterable<ServiceEntry>;
@@ -33,11 +33,11 @@
 
 const rememberedOrders = 1024;
 
-/** Trust in computed homes before anything was learned. */
-const initialHomes = {hopedPieces: 40, metPieces: 20};
+/** Initial hit rate of computed homes: half, with the weight of 40 pieces. */
+const initialHitRate = {expectedPieces: 40, hitPieces: 20};
 
 /**
- * Opens an empty table.
+ * Creates an empty table.
  * @internal
  */
 export const createServiceTable = (model: EngineModel, options: FilledPlacerOptions): ServiceTable => {
@@ -60,7 +60,7 @@
 		return engine;
 	};
 
-	/** A new order only when names changed: it costs the ranks of hot prefixes. */
+	/** Replaces a service only when its endpoints changed: a new order has to rank all endpoints again for the hot prefixes. */
 	const replace = (name: string, members: EngineRecord[]): void => {
 		const former = services.get(name);
 		if (former?.engines.length === members.length && former.engines.every((engine, index) => engine === members[index])) {
@@ -74,8 +74,8 @@
 			get pieceTokens() {
 				return options.pieceTokensOf(name);
 			},
-			hopedPieces: former?.hopedPieces ?? initialHomes.hopedPieces,
-			metPieces: former?.metPieces ?? initialHomes.metPieces,
+			expectedPieces: former?.expectedPieces ?? initialHitRate.expectedPieces,
+			hitPieces: former?.hitPieces ?? initialHitRate.hitPieces,
 			requests: former?.requests ?? {value: 0, at: 0},
 		});
 	};
--- a/packages/router/src/routing.ts
+++ b/packages/router/src/routing.ts
@@ -1,4 +1,4 @@
-/** Where requests go: cache identity, placement, health and retry budgets. */
+/** Placement of requests: cache identity, placement, health and retry budgets. */
 export * from './lib/routing/attempt-budget.js';
 export * from './lib/routing/cache-identity.js';
 export * from './lib/routing/health.js';
--- a/packages/router/src/test/leases/lease-holder.test.ts
+++ b/packages/router/src/test/leases/lease-holder.test.ts
@@ -28,7 +28,7 @@
 		return holder;
 	}
 
-	/** Rounds of those that run, while the others are paused. */
+	/** Ticks the given holders for a time, while all others are paused. */
 	async function run(holders: LeaseHolder[], ms: number): Promise<void> {
 		for (let passed = 0; passed < ms; passed += 1000) {
 			await clock.tickAsync(1000);
@@ -40,7 +40,7 @@
 		}
 	}
 
-	it('gives a duty to one of two contenders, and keeps it there', async () => {
+	it('assigns a duty to one of two contenders, which keeps it', async () => {
 		const [a, b] = [contender('a'), contender('b')];
 		await Promise.all([a.tick(), b.tick()]);
 		assert.equal([a, b].filter(holder => holder.held(duty)).length, 1);
@@ -48,9 +48,10 @@
 		assert.equal([a, b].filter(holder => holder.held(duty)).length, 1);
 	});
 
-	it('stops a holder that was paused before anybody else may act', async () => {
-		// The holder sleeps over its lease and another takes the duty. Right when
-		// it wakes, before it can ask anybody, it must find that it may not act.
+	it('ends the lease of a paused holder before another daemon may act', async () => {
+		// A holder is paused until its lease has ended and another daemon has acquired
+		// the duty. When it resumes, it must see at once, before any request, that it
+		// may not act.
 		const [a, b] = [contender('a'), contender('b')];
 		await a.tick();
 		const before = a.held(duty)?.fencing ?? 0;
@@ -69,7 +70,7 @@
 		assert.isUndefined(a.held(duty));
 	});
 
-	it('leaves both margins between the end of one lease and the start of the next', async () => {
+	it('leaves the margins of holder and contender between two leases', async () => {
 		const [a, b] = [contender('a'), contender('b')];
 		await a.tick();
 		await b.tick();
@@ -83,9 +84,9 @@
 		assert.isDefined(b.held(duty));
 	});
 
-	it('settles a lost answer by its own row', async () => {
-		// The write took effect and its answer was lost. The holder reads its own
-		// attempt back; the lease counts from before the write.
+	it('reads its own row back when the response to a write is lost', async () => {
+		// The write took effect but its response was lost. The holder finds its own
+		// attempt in the row; the lease counts from before the write.
 		const a = contender('a');
 		let calls = 0;
 		table = createFakeTable(() => {
@@ -99,7 +100,7 @@
 		assert.isUndefined(a.held(duty));
 	});
 
-	it('ends with the lease while the table is down, and goes on with a higher number', async () => {
+	it('stops when its lease ends while the table is down, and continues with a higher fencing token', async () => {
 		const a = contender('a');
 		await a.tick();
 		fault = 'down';
@@ -112,8 +113,9 @@
 		assert.equal(a.held(duty)?.fencing, 2);
 	});
 
-	it('costs a fleet without holder few reads, though the first candidates are out of reach', async () => {
-		// While the store refused some machines, all others read the lease in each round.
+	it('limits reads of the table in a fleet without a holder when the first candidates cannot reach it', async () => {
+		// Without the limit, all daemons would read the lease in each round while the
+		// store refuses some of them.
 		const names = Array.from({length: 200}, (_item, index) => `vm-${index}`);
 		const down = createFakeTable(() => 'down');
 		let reads = 0;
@@ -136,7 +138,7 @@
 		assert.isDefined(reachable.held(duty));
 	});
 
-	it('does not wait for a holder that has ended, or that gave the duty back', async () => {
+	it('does not wait for a holder that has ended or has released the duty', async () => {
 		const [a, b] = [contender('a'), contender('b', ['a'])];
 		await a.tick();
 		await b.tick();
--- a/packages/router/src/test/leases/lease-word.test.ts
+++ b/packages/router/src/test/leases/lease-report.test.ts
@@ -1,23 +1,23 @@
 import FakeTimers from '@sinonjs/fake-timers';
 import {assert} from 'chai';
-import {createLeaseHolder, type LeaseHolder, type LeaseWord} from '../../leases.js';
+import {createLeaseHolder, type LeaseHolder, type LeaseReport} from '../../leases.js';
 import {createFakeTable, type TableFault} from '../limits/fleet.js';
 
 const duty = 'weights';
 const leaseMs = 1800;
 const marginMs = 450;
 
-describe('createLeaseHolder with the word of a holder', () => {
+describe('createLeaseHolder with reports of a holder', () => {
 	let clock: FakeTimers.Clock;
 	let fault: TableFault;
 	let table: ReturnType<typeof createFakeTable>;
-	let words: Map<string, LeaseWord>;
+	let reports: Map<string, LeaseReport>;
 
 	beforeEach(() => {
 		clock = FakeTimers.install();
 		fault = 'none';
 		table = createFakeTable(() => fault);
-		words = new Map();
+		reports = new Map();
 	});
 
 	afterEach(() => {
@@ -26,23 +26,23 @@
 
 	const contender = (name: string, given = table): LeaseHolder => {
 		const holder = createLeaseHolder({
-			name, incarnation: 1n, table: given, leaseMs, marginMs, lastWord: other => words.get(other),
+			name, incarnation: 1n, table: given, leaseMs, marginMs, lastWord: other => reports.get(other),
 		});
 		holder.contend(duty);
 		return holder;
 	};
 
-	/** What a peer hears of a holder now. */
+	/** Records the holder's current report as received by peers. */
 	const hear = (name: string, holder: LeaseHolder): void => {
-		const word = holder.word(duty);
-		if (word !== undefined) {
-			words.set(name, {attempt: word.attempt, heardAt: performance.now(), msLeft: word.msLeft});
+		const report = holder.word(duty);
+		if (report !== undefined) {
+			reports.set(name, {attempt: report.attempt, heardAt: performance.now(), msLeft: report.msLeft});
 		}
 	};
 
-	it('is taken over when the holder that is cut from the table says that its lease has ended', async () => {
-		// The holder can't reach the table any more but its peers hear it. The
-		// successor need not wait for a whole lease from its own first look.
+	it('takes a lease over when a holder that is cut off from the table reports that it has ended', async () => {
+		// The holder can no longer reach the table but its peers receive its reports.
+		// The successor need not wait for a whole lease from its first read of the row.
 		const [a, b] = [contender('a'), contender('b')];
 		await a.tick();
 		hear('a', a);
@@ -57,9 +57,9 @@
 		assert.isAtMost(performance.now() - cutAt, leaseMs);
 	});
 
-	it('is not taken over while a write of the holder is younger than its word', async () => {
-		// The word is old: the holder has renewed since. Its row says so by the
-		// number of the attempt, and the lease is waited for.
+	it('does not take a lease over when the holder has written the row since its report', async () => {
+		// The report is outdated because the holder has renewed since. The attempt number
+		// in the row shows it, so that the whole lease must be awaited.
 		const [a, b] = [contender('a'), contender('b')];
 		await a.tick();
 		hear('a', a);
@@ -71,10 +71,10 @@
 		assert.isDefined(a.held(duty));
 	});
 
-	it('is taken over soon when the holder stops while the answer to its renewal is on the way', async () => {
-		// The renewal takes effect in the table and its holder is suspended. The row
-		// bears an attempt; had the peers not heard of it before it was written, they
-		// would take it for a lease that has just begun when they first look.
+	it('takes a lease over early when the holder is suspended before the response to its renewal', async () => {
+		// The renewal takes effect in the table and its holder is suspended. If peers
+		// had not learned of the attempt before it was written, they would take the row
+		// for a lease that begins when they first read it.
 		const a: LeaseHolder = createLeaseHolder({
 			name: 'a', incarnation: 1n, table, leaseMs, marginMs, onAttempt() {
 				hear('a', a);
@@ -95,11 +95,11 @@
 		assert.isAtMost(performance.now() - stoppedAt, leaseMs + 100);
 	});
 
-	it('is not held by a machine that slept, whose monotonic clock stood still', async () => {
+	it('drops the lease of a machine that was suspended while its monotonic clock stood still', async () => {
 		const a = contender('a');
 		await a.tick();
 		assert.isDefined(a.held(duty));
-		// Only the time of day has moved while the machine was suspended.
+		// Only the wall clock advances while the machine is suspended.
 		clock.setSystemTime(Date.now() + 4000);
 		assert.isUndefined(a.held(duty));
 	});
--- a/packages/router/src/test/membership/fake-fleet.ts
+++ b/packages/router/src/test/membership/fake-fleet.ts
@@ -1,4 +1,4 @@
-/** Memberships over fake links and a fake VM list. */
+/** Memberships connected by fake links, with a fake VM list. */
 import {
 	createMembership, type MemberChange, type Membership, Phase,
 } from '../../membership.js';
@@ -15,13 +15,13 @@
 	start: (name: string, incarnation?: bigint) => Membership;
 	stop: (name: string) => void;
 	stopAll: () => void;
-	/** How many daemons call the named one so. */
+	/** How many daemons see the named daemon with this status. */
 	countStatus: (name: string, status: string) => number;
 };
 
 export type FakeFleetOptions = FakeLinksOptions & {daemons: number; dataCentres: number};
 
-/** Daemon N stands in data centre N modulo their number. */
+/** Daemon N is in data centre N modulo the number of data centres. */
 export function createFakeFleet(options: FakeFleetOptions): FakeFleet {
 	const links = createFakeLinks(options);
 	const names = Array.from({length: options.daemons}, (_, index) => `vm-${index}`);
@@ -51,7 +51,7 @@
 				},
 				send: link.send,
 				setPeers() {
-					// Fake links know every name.
+					// Fake links reach every daemon by name.
 				},
 				peerAddressOf: vm => vm.address,
 				configurationVersion: () => 7,
--- a/packages/router/src/test/membership/membership.test.ts
+++ b/packages/router/src/test/membership/membership.test.ts
@@ -10,7 +10,7 @@
 import {Phase} from '../../membership.js';
 import {createFakeFleet, type FakeFleet, type FakeFleetOptions} from './fake-fleet.js';
 
-/** How many histories each property is tried on; CI runs a small fixed set. */
+/** Number of random histories per property; CI runs a small fixed set. */
 const histories = Number(process.env.STATE_HISTORIES ?? 40);
 
 describe('createMembership', () => {
@@ -35,7 +35,7 @@
 		await clock.tickAsync(15_000);
 	}
 
-	it('finds every daemon live, with its version, and tells of a leaving one within 2 s', async () => {
+	it('sees every daemon live with its version, and a leaving one within 2 s', async () => {
 		await startFleet({daemons: 12, dataCentres: 4});
 		for (const membership of fleet.memberships.values()) {
 			assert.deepEqual(membership.reach(), {heard: 12, listed: 12, newestVersion: 7});
@@ -47,10 +47,10 @@
 		assert.equal(fleet.countStatus('vm-5', 'leaving'), 12);
 	});
 
-	it('tells a restart from a pause', async () => {
-		// One daemon stops without a word and comes back as a new process; another
-		// is paused and goes on. Both are silent first; only the first has lost
-		// what it knew, and its peers must learn that.
+	it('distinguishes a restart from silence', async () => {
+		// A daemon stops without notice and comes back as a new process, while a paused
+		// one would come back as the same process. Both are silent first; only a restart
+		// loses state, and peers must learn of it.
 		await startFleet({daemons: 12, dataCentres: 4});
 		fleet.stop('vm-5');
 		await clock.tickAsync(25_000);
@@ -62,7 +62,7 @@
 		assert.deepEqual(seen?.slice(-2), ['suspect/1', 'live/2']);
 	});
 
-	it('tells an older process that a newer one has its name', async () => {
+	it('notifies an older process of a newer one with its name', async () => {
 		await startFleet({daemons: 3, dataCentres: 1});
 		const older = fleet.memberships.get('vm-0');
 		fleet.start('vm-0', 2n);
@@ -73,10 +73,10 @@
 		assert.deepEqual(fleet.superseded, ['vm-0/1']);
 	});
 
-	it('heals after a region was cut off for an hour', async () => {
-		// Two regions hear nothing of each other for an hour. Each goes on with its
-		// own; no daemon may be taken for dead or restarted, and both find each
-		// other again within half a minute, though all beyond were silent.
+	it('recovers after two regions were partitioned for an hour', async () => {
+		// Two regions are partitioned for an hour. Each continues on its own; no daemon
+		// may count as dead or restarted, and both regions must find each other again
+		// within half a minute although all remote daemons were silent.
 		let apart = false;
 		const sideOf = (name: string) => Number(name.slice(3)) % 4 < 2;
 		await startFleet({daemons: 8, dataCentres: 4, route: (from, to) => apart && sideOf(from) !== sideOf(to) ? [] : [5]});
@@ -95,10 +95,10 @@
 		}
 	});
 
-	it('does not call a daemon silent for longer than it could have heard it', async () => {
-		// One daemon is cut off and may still serve by an old version. Another has
-		// just started and never heard it: were that infinite silence, it would
-		// tell the operator at once that the first has stopped.
+	it('reports a daemon silent for no longer than it has known it', async () => {
+		// A daemon is cut off and may still serve an old configuration version. Another
+		// has just started and never heard it. If that counted as infinite silence, it
+		// would immediately report to the operator that the first has stopped.
 		await startFleet({daemons: 3, dataCentres: 1, route: (from, to) => from === 'vm-2' || to === 'vm-2' ? [] : [2]});
 		fleet.stop('vm-0');
 		fleet.start('vm-0', 2n);
@@ -107,7 +107,7 @@
 		assert.isAtMost(cutOff?.silentMs ?? Infinity, 2000);
 	});
 
-	it('goes on when the representatives of a data centre die', async () => {
+	it('keeps all daemons connected when the representatives of a data centre die', async () => {
 		await startFleet({daemons: 16, dataCentres: 2});
 		for (const name of ['vm-0', 'vm-10', 'vm-1', 'vm-11']) {
 			fleet.stop(name);
@@ -119,9 +119,10 @@
 		}
 	});
 
-	it('gives endpoints on a leaving VM no new work within 5 s, though few read the list', async () => {
-		// The platform marks an endpoint's VM as leaving. Every daemon must know
-		// within seconds, while the list is too long for all to read it often.
+	it('learns of a leaving endpoint VM within 5 s although few daemons read the list', async () => {
+		// The platform marks an endpoint's VM as leaving. Every daemon must know within
+		// seconds to place no new work there, but the list is too long for all daemons
+		// to read it often.
 		await startFleet({daemons: 20, dataCentres: 4});
 		fleet.list.vms.push({
 			name: 'engine-1', role: 'endpoint', dataCentre: 'dc-0', address: '', state: 'leaving',
@@ -133,9 +134,9 @@
 		assert.isAtMost(fleet.listReads() - readsBefore, 8);
 	});
 
-	it('takes a VM for gone only when an earlier list had it, and by no older list', async () => {
-		// The list lags: a new VM may be missing from it, and an old copy may lack
-		// what a newer one has. Taking absence for death would stop live daemons.
+	it('treats a VM as gone only if an earlier list had it, and ignores older lists', async () => {
+		// The list may lag: a new VM may be missing from it, and an old copy may lack
+		// entries of a newer one. Treating absence as death would stop live daemons.
 		await startFleet({daemons: 2, dataCentres: 1});
 		const full = fleet.list;
 		fleet.list = {version: 0, vms: full.vms.filter(vm => vm.name === 'vm-0')};
@@ -146,7 +147,7 @@
 		assert.equal(fleet.countStatus('vm-1', 'left'), 2);
 	});
 
-	it('does not take late news for the state of a VM that came back', () => {
+	it('ignores late updates of a VM that is live again', () => {
 		const vms = createVmTable();
 		const news = (listVersion: bigint, phase: VmPhase) => create(VmStateSchema, {name: 'engine-1', listVersion, phase});
 		assert.isTrue(vms.apply(news(5n, VmPhase.LEAVING)));
@@ -155,10 +156,10 @@
 		assert.isFalse(vms.isLeaving('engine-1'));
 	});
 
-	it('never goes back to an older process or phase, whatever is lost, doubled or late', async () => {
-		// Late news of a process that has left would send work and tokens to a
-		// daemon that is no more. Messages are lost, doubled and late; daemons
-		// restart and leave. Checked at each change that any daemon sees.
+	it('never reverts to an older process or phase when messages are lost, duplicated or delayed', async () => {
+		// A late update of a process that has left would send work and tokens to a daemon
+		// that no longer runs. Messages are lost, duplicated and delayed; daemons restart
+		// and leave. Checked at each change that any daemon sees.
 		await fc.assert(fc.asyncProperty(fc.array(fc.nat(7), {minLength: 40, maxLength: 40}), fc.array(fc.nat(5), {minLength: 1, maxLength: 5}), async (draws, restarts) => {
 			let turn = 0;
 			let faulty = true;
--- a/packages/router/src/test/routing/attempt-budget.test.ts
+++ b/packages/router/src/test/routing/attempt-budget.test.ts
@@ -22,9 +22,9 @@
 		clock.uninstall();
 	});
 
-	it('grants a fixed number on top of the share where both are allowed together', () => {
-		// Crashed endpoints fail one request in six. With the larger of the two
-		// parts alone, a third of the repeats that are allowed would be refused.
+	it('adds the minimum to the share if isMinimumAdded is set', () => {
+		// Crashed endpoints fail one request in six. If only the larger of the two
+		// parts counted, a third of the permitted retries would be refused.
 		const budget = createRetryBudget({share: 0.2, fewest: 4, isFewestExtra: true});
 		for (let count = 0; count < 50; count++) {
 			budget.deposit();
@@ -35,11 +35,11 @@
 		assert.equal(spend(budget), 4);
 	});
 
-	it('asks anew for the fixed number, which grows while a process that was started again lives', () => {
-		let fewest = 0;
-		const budget = createRetryBudget({share: 0.2, fewest: () => fewest, isFewestExtra: true});
+	it('calls the function for the minimum at each withdrawal, as it grows with the uptime of a restarted process', () => {
+		let minimum = 0;
+		const budget = createRetryBudget({share: 0.2, fewest: () => minimum, isFewestExtra: true});
 		assert.equal(spend(budget), 0);
-		fewest = 3;
+		minimum = 3;
 		assert.equal(spend(budget), 3);
 	});
 });
--- a/packages/router/src/test/routing/health.test.ts
+++ b/packages/router/src/test/routing/health.test.ts
@@ -21,7 +21,7 @@
 		clock.uninstall();
 	});
 
-	it('ejects on evidence, for longer each time, and takes back slowly', () => {
+	it('ejects after consecutive failures, for longer each time, and ramps a returning endpoint up slowly', () => {
 		const health = createHealthTracker({ejectionMs: 1000, returnMs: 4000});
 		health.setEndpoints('wordsmith', ['a', 'b', 'c', 'd']);
 		fail(health, 'a', 2);
@@ -43,7 +43,7 @@
 		assert.equal(health.healthOf('a'), 'healthy');
 	});
 
-	it('ejects by the share of failures where successes lie between', () => {
+	it('ejects by the share of failures when failures are not consecutive', () => {
 		const health = createHealthTracker();
 		health.setEndpoints('wordsmith', ['a', 'b']);
 		for (let count = 0; count < 6; count++) {
@@ -55,9 +55,8 @@
 	});
 
 	/*
-	 * Callers are refused by a service that could serve some of them. Every
-	 * endpoint fails now and then in a brown-out; each one taken out loads the
-	 * rest still more, until none is left.
+	 * In a brown-out every endpoint fails now and then. Ejecting each of them would
+	 * overload the rest until none is left, and refuse requests that could be served.
 	 */
 	it('never ejects more than a share of a service, nor its only endpoint', () => {
 		const health = createHealthTracker({maxEjectedShare: 0.3});
@@ -75,10 +74,10 @@
 	});
 
 	/*
-	 * A brown-out that would pass lasts instead: every request fails, each is
-	 * tried again and again, and the endpoints get several times their load.
+	 * In a brown-out every request fails. If each were retried without limit,
+	 * endpoints would get several times their load and the brown-out would not end.
 	 */
-	it('keeps retries to a share of recent requests in a brown-out', () => {
+	it('limits retries to a share of recent requests in a brown-out', () => {
 		const budget = createRetryBudget({share: 0.2, fewest: 3, windowMs: 10_000});
 		let retries = 0;
 		for (let request = 0; request < 1000; request++) {
@@ -93,7 +92,7 @@
 		assert.isAtLeast(retries, 180);
 	});
 
-	it('leaves a few attempts in quiet times, and forgets what lies behind the window', () => {
+	it('allows the minimum without traffic, and ignores attempts before the window', () => {
 		const budget = createHedgeBudget({fewest: 1, windowMs: 1000});
 		assert.isTrue(budget.withdraw());
 		assert.isFalse(budget.withdraw());
--- a/packages/router/src/test/routing/placer.test.ts
+++ b/packages/router/src/test/routing/placer.test.ts
@@ -24,7 +24,7 @@
 	return placer;
 };
 
-/** Places a request and answers it at once; returns where it went. */
+/** Places a request and answers it immediately; returns its endpoint. */
 const serve = (placer: LearningPlacer, request: PlacementRequest, outcome: Partial<Outcome> = {}): string => {
 	const placement = placer.place(request)!;
 	placer.started(request, placement);
@@ -48,7 +48,7 @@
 		clock.uninstall();
 	});
 
-	it('sends prompts that share a preamble where it is cached', () => {
+	it('sends prompts with a common prefix to the endpoint that has it cached', () => {
 		const placer = openPlacer();
 		const preamble = pieces(1, 4);
 		const home = serve(placer, requestFor([...preamble, 11n]));
@@ -58,11 +58,10 @@
 	});
 
 	/*
-	 * A caller waits for its whole prompt to be computed anew after a router
-	 * restarted: the new process, knowing nothing, sends the prompt elsewhere
-	 * than its peers have. Home order must not need anything learned.
+	 * If the order of homes depended on learned state, a restarted router would send
+	 * prompts to other endpoints than its peers do, and they would be recomputed.
 	 */
-	it('places after a restart, and for any order of the list, as its peers do', () => {
+	it('places as its peers do after a restart, whatever the order of the endpoint list', () => {
 		for (let prompt = 1; prompt <= 50; prompt++) {
 			const request = requestFor(pieces(prompt, 6));
 			const peer = openPlacer(endpoints, {random: () => 0.1}).place(request);
@@ -72,11 +71,11 @@
 	});
 
 	/*
-	 * Callers of a large school wait in one engine's queue after a router has
-	 * restarted: it doesn't know that the preamble is hot, and gives it one home
-	 * where its peers have several. Each router has seen other requests.
+	 * A restarted router that doesn't know that a prefix is hot would give it one
+	 * home where its peers have several, so that requests queue at one engine. Each
+	 * router has seen different requests.
 	 */
-	it('places the houses of a hot preamble as its peers do, after a restart from a peer\'s snapshot', () => {
+	it('places prompts that extend a hot prefix as its peers do after restoring a peer\'s snapshot', () => {
 		const preamble = pieces(1, 4);
 		const feed = (placer: LearningPlacer, from: number): void => {
 			for (let child = from; child < from + 60; child++) {
@@ -105,7 +104,7 @@
 		assert.isAtMost(differing.other, 4);
 	});
 
-	it('takes no home from a snapshot whose engine is another process by now, and no text that is no snapshot', () => {
+	it('ignores homes in a snapshot whose engine has restarted since, and rejects content that is not a snapshot', () => {
 		const peer = openPlacer();
 		const request = requestFor(pieces(1, 4));
 		const home = serve(peer, request);
@@ -119,11 +118,11 @@
 	});
 
 	/*
-	 * A caller would be promised cached work that a crash has wiped out. The
-	 * engine comes back under its old address as another process; then a report
-	 * that its old process had sent arrives late.
+	 * An engine crashes, losing its cache, and returns at its old address as a new
+	 * process; then a late report of the old process arrives. Neither may make the
+	 * lost cache count as present.
 	 */
-	it('forgets what a crashed engine had cached, and ignores late news of its old process', () => {
+	it('forgets the cache of a crashed engine, and ignores late reports of its old process', () => {
 		const placer = openPlacer();
 		const request = requestFor(pieces(1, 4));
 		const home = serve(placer, request);
@@ -139,10 +138,10 @@
 	});
 
 	/*
-	 * A caller would get an answer of older weights. An endpoint is still on the
-	 * old version, or went back to it, and has the prompt's home.
+	 * An endpoint that is still on the old weights version, or went back to it, and
+	 * is a home of the prompt would answer with the wrong version.
 	 */
-	it('uses no endpoint known to run another version, and forgets its cache with the version', () => {
+	it('uses no endpoint known to run another version, and forgets its cache when the version changes', () => {
 		const placer = openPlacer();
 		const request = requestFor(pieces(1, 4));
 		const home = serve(placer, request);
@@ -158,7 +157,7 @@
 		assert.isUndefined(placer.place(request));
 	});
 
-	it('gives a leaving endpoint nothing new, and an excluded one nothing again', () => {
+	it('places nothing at leaving or excluded endpoints', () => {
 		const placer = openPlacer();
 		const request = requestFor(pieces(1, 4));
 		const home = serve(placer, request);
@@ -170,12 +169,12 @@
 	});
 
 	/*
-	 * Every caller of a large school waits in one engine's queue while others
-	 * idle: its preamble has one home, and all go there. Own starts that are not
-	 * yet in any report must count, or the spread begins a report too late.
+	 * If all requests with a hot prefix went to its one home, they would queue there
+	 * while other engines idle. Local requests that no load report includes yet must
+	 * count, or the spread begins one report too late.
 	 */
-	for (const [by, options, most] of [['its share', {}, 30], ['own starts alone', {homeHeadroom: 0}, 40]] as const) {
-		it(`gives a hot preamble more homes instead of a queue, by ${by}`, () => {
+	for (const [by, options, most] of [['its share of requests', {}, 30], ['local requests alone', {homeHeadroom: 0}, 40]] as const) {
+		it(`spreads a hot prefix over several homes, by ${by}`, () => {
 			const placer = openPlacer(endpoints, options);
 			const used = new Map<string, number>();
 			for (let child = 0; child < 60; child++) {
@@ -190,12 +189,12 @@
 		});
 	}
 
-	it('goes by a load report until it is too old', () => {
+	it('uses a load report until it expires', () => {
 		const placer = openPlacer();
 		const request = requestFor(pieces(1, 2));
 		const home = serve(placer, request);
 		placer.observe(home, {...idle, pendingPromptTokens: 10_000_000});
-		assert.equal(placer.place(request)!.endpoint, home, 'a report that lags is older than the answer before it');
+		assert.equal(placer.place(request)!.endpoint, home, 'a delayed report is older than the load from the answer before it');
 		clock.tick(400);
 		placer.observe(home, {...idle, pendingPromptTokens: 10_000_000});
 		assert.notEqual(placer.place(request)!.endpoint, home);
@@ -204,11 +203,11 @@
 	});
 
 	/*
-	 * Callers wait for long in one engine while others idle: it has so much to do
-	 * that it gives no answers, hence no news of its load, and load reports are
-	 * lost. That own requests are overdue is the only news.
+	 * An engine with a long queue sends no answers, hence no load with them, and load
+	 * reports may be lost. Overdue local requests are then the only evidence of its
+	 * queue; ignoring it would let requests wait there while other engines idle.
 	 */
-	it('takes a late answer as news of a long queue', () => {
+	it('treats an overdue answer as evidence of a long queue', () => {
 		const placer = openPlacer();
 		const request = requestFor(pieces(1, 2));
 		const home = serve(placer, request);
@@ -221,10 +220,10 @@
 	});
 
 	/*
-	 * Callers wait behind a crowd in an engine that has just come back: empty, it
-	 * reports no load, so every router sends it everything at once.
+	 * An engine that has just restarted reports no load, so that all routers would
+	 * send it everything at once and requests would queue there.
 	 */
-	it('starts a new process of an engine slowly', () => {
+	it('limits requests to a new engine process (slow start)', () => {
 		const placer = openPlacer();
 		for (const {name} of endpoints) {
 			placer.observe(name, {...idle, pendingPromptTokens: 100_000_000});
@@ -242,7 +241,7 @@
 		assert.isAtMost(sent, 2);
 	});
 
-	it('goes by the piece size in force, also when endpoints were set before it changed', () => {
+	it('uses the piece size in force, even if endpoints were set before it changed', () => {
 		let pieceTokens = 1;
 		const placer = openPlacer(endpoints, {pieceTokensOf: () => pieceTokens});
 		const request = requestFor(pieces(1, 4));
@@ -251,7 +250,7 @@
 		assert.equal(placer.place(request)!.expectedCachedTokens, 4 * 1024);
 	});
 
-	it('believes cache events of the present process only', () => {
+	it('ignores cache events of processes other than the current one', () => {
 		const placer = openPlacer();
 		const request = requestFor(pieces(1, 4));
 		const home = serve(placer, request);
@@ -261,7 +260,7 @@
 		assert.equal(placer.place(request)!.expectedCachedTokens, 0);
 	});
 
-	it('remembers no more prefixes than its bound', () => {
+	it('remembers no more prefixes than its limit', () => {
 		const placer = openPlacer(endpoints, {rememberedPrefixes: 100});
 		for (let prompt = 0; prompt < 200; prompt++) {
 			serve(placer, requestFor(pieces(prompt, 6)));
@@ -270,7 +269,7 @@
 		assert.equal(placer.rememberedPrefixes(), 100);
 	});
 
-	it('keeps out an endpoint that fails, and no more of them than a share', () => {
+	it('ejects failing endpoints, up to the maximum share', () => {
 		const placer = openPlacer(endpoints, {health: {maxEjectedShare: 0.3}});
 		for (let round = 0; round < 200; round++) {
 			serve(placer, requestFor(pieces(round, 1)), {result: 'failed', load: undefined});
--- a/packages/router/src/test/routing/prompt-pieces.test.ts
+++ b/packages/router/src/test/routing/prompt-pieces.test.ts
@@ -22,14 +22,14 @@
 		assert.lengthOf(hasher.hash(identity, '', 16), 0);
 	});
 
-	it('counts bytes of UTF-8, so that a text and its bytes have the same hashes', () => {
+	it('hashes a string and its UTF-8 bytes alike, and counts bytes of UTF-8', () => {
 		const text = '記録'.repeat(20);
 		assert.deepEqual(hasher.hash(identity, text, 12), hasher.hash(identity, new TextEncoder().encode(text), 12));
 		assert.equal(pieceBytesOf({pieceTokens: 1024, bytesPerToken: 4}), 4096);
 		assert.equal(estimatePromptTokens(4097, 4), 1025);
 	});
 
-	it('shares hashes exactly as long as prompts share whole pieces', () => {
+	it('gives two prompts equal hashes for exactly the whole pieces of their common prefix', () => {
 		fc.assert(fc.property(fc.uint8Array({maxLength: 80}), fc.uint8Array({maxLength: 40}), fc.uint8Array({maxLength: 40}), fc.integer({min: 1, max: 12}), (shared, left, right, pieceBytes) => {
 			const a = new Uint8Array([...shared, ...left]);
 			const b = new Uint8Array([...shared, ...right]);
@@ -44,11 +44,11 @@
 	});
 
 	/*
-	 * A caller would see an answer made with another workspace's or an older
-	 * version's cached work. It happens when two identities share a hash, so
-	 * that one is placed and credited by what the other left in a cache.
+	 * If two identities shared a hash, a prompt of one would be placed and credited
+	 * by what the other has cached, so that an answer could come from another
+	 * workspace's or an older version's cache.
 	 */
-	it('gives another workspace, model, version or adapter hashes of its own', () => {
+	it('gives different workspaces, models, versions and adapters different hashes', () => {
 		const part = fc.string({maxLength: 6});
 		const identities = fc.record({
 			workspace: part, model: part, version: part, adapter: part,
@@ -64,7 +64,7 @@
 		}
 	});
 
-	it('does not let the parts of an identity run together', () => {
+	it('distinguishes identities whose concatenated fields are equal', () => {
 		const prompt = 'a'.repeat(16);
 		assert.notDeepEqual(
 			hasher.hash({...identity, workspace: 'a', model: 'bc'}, prompt, 16),
