--- a/packages/router/src/endpoints.ts
+++ b/packages/router/src/endpoints.ts
@@ -1,4 +1,4 @@
-/** How the router speaks to endpoints. */
+/** Clients, probes and selection of endpoints. */
 export * from './lib/endpoints/endpoint-errors.js';
 export * from './lib/endpoints/engine-client.js';
 export * from './lib/endpoints/endpoint-picker.js';
--- a/packages/router/src/lib/endpoints/endpoint-picker.ts
+++ b/packages/router/src/lib/endpoints/endpoint-picker.ts
@@ -1,19 +1,19 @@
-/** Chooses among the endpoints of a plain service: the healthy one with the least work. */
+/** Picks the healthy endpoint of a plain service with the fewest calls in progress. */
 import {type Endpoint} from '../configuration/document.js';
 import {createHealthTracker, type HealthOptions} from '../routing/health.js';
 
 /** Options of {@link createEndpointPicker}. */
 export type EndpointPickerOptions = {
-	/** Endpoints of a service that may get new work now. */
+	/** Endpoints of a service that may get new calls now. */
 	endpointsOf: (service: string) => readonly Endpoint[];
 	health?: HealthOptions;
-	/** From 0 up to 1, so that routers do not all choose the first of equals. */
+	/** Random number from 0 up to 1; breaks ties, so that routers do not all pick the same endpoint. */
 	random: () => number;
 };
 
-/** Chooses endpoints and counts their work. */
+/** Picks endpoints and counts their calls in progress. */
 export type EndpointPicker = {
-	/** `undefined` when every endpoint is excluded. */
+	/** Returns `undefined` if every endpoint is excluded. */
 	pick: (service: string, excluded: ReadonlySet<string>) => Endpoint | undefined;
 	started: (endpoint: string) => void;
 	ended: (endpoint: string) => void;
@@ -21,7 +21,7 @@
 	succeeded: (endpoint: string) => void;
 };
 
-/** Creates a picker that knows of no work. */
+/** Creates a picker without calls in progress. */
 export function createEndpointPicker(options: EndpointPickerOptions): EndpointPicker {
 	const health = createHealthTracker(options.health);
 	const tracked = new Map<string, readonly Endpoint[]>();
@@ -54,12 +54,12 @@
 	return {
 		pick(service, excluded) {
 			let best: Endpoint | undefined;
-			let least = Number.POSITIVE_INFINITY;
+			let lowestCost = Number.POSITIVE_INFINITY;
 			for (const endpoint of track(service)) {
 				const cost = excluded.has(endpoint.name) ? Number.POSITIVE_INFINITY : costOf(endpoint);
-				if (cost < least) {
+				if (cost < lowestCost) {
 					best = endpoint;
-					least = cost;
+					lowestCost = cost;
 				}
 			}
 
--- a/packages/router/src/lib/endpoints/endpoint-watch.ts
+++ b/packages/router/src/lib/endpoints/endpoint-watch.ts
@@ -1,84 +1,84 @@
 /**
- * Asks engines how they are, a few at a time. Load comes with every answer;
- * this covers endpoints that had no request of late, so that a new process, a
- * new version or a full queue is known before a caller meets it.
+ * Probes engines, a few at a time. Every response to a request reports the load;
+ * probes cover endpoints without recent requests, so that a new process, a new
+ * version or a full queue is known before a request is sent there.
  */
 import {type Endpoint} from '../configuration/document.js';
 import {type EngineLoad} from '../serving/ports.js';
 import {type ReadyVersions} from './version-choice.js';
 
-/** What a probe found. */
+/** Result of a probe. */
 export type EngineReport = EngineLoad & {
-	/** Whether it takes requests now; false while it loads weights. */
+	/** Whether the engine accepts requests; false while it loads weights. */
 	ready: boolean;
 };
 
 /** Options of {@link createEndpointWatch}. */
 export type EndpointWatchOptions = {
-	/** Endpoints of model services now. */
+	/** Current endpoints of model services. */
 	endpoints: () => readonly Endpoint[];
-	/** Asks one engine; rejects when it gives no answer. */
+	/** Probes one engine; rejects if it does not respond. */
 	probe: (address: string) => Promise<EngineReport>;
-	/** Milliseconds in which every endpoint is asked once, as long as the bound below allows. */
+	/** Milliseconds in which every endpoint is probed once, unless `mostPerSecond` limits it. */
 	roundMs: number;
-	/** Most probes a second. */
+	/** Maximum number of probes per second. */
 	mostPerSecond: number;
 	onReport: (endpoint: string, report: EngineReport) => void;
-	/** The probe failed; the endpoint may be down. */
+	/** Called when a probe failed; the endpoint may be down. */
 	onSilence: (endpoint: string) => void;
 };
 
-/** Watches endpoints. */
+/** Probes endpoints and keeps the results. */
 export type EndpointWatch = {
-	/** Ready replicas of a service by version, as last seen. */
+	/** Returns the number of ready replicas of a service by version, from the last probes. */
 	versionsOf: (service: string) => ReadyVersions;
 	/**
-	 * False only for an endpoint that said of late that it takes no requests. A
-	 * probe without an answer is no such word: in a large fleet the next one
+	 * Returns `false` only for an endpoint that recently reported that it accepts
+	 * no requests. A failed probe does not count: in a large fleet the next one
 	 * comes much later, and failed requests tell more (see routing/health.ts).
 	 */
 	isReady: (endpoint: string) => boolean;
-	/** What an endpoint said last; `undefined` when its last probe failed. */
+	/** Returns the last report of an endpoint, or `undefined` if its last probe failed. */
 	lastReport: (endpoint: string) => EngineReport | undefined;
-	/** Probes every endpoint once, for a daemon that starts. */
+	/** Probes up to `mostPerSecond` endpoints once, for a daemon that starts. */
 	sweep: () => Promise<void>;
 	start: () => void;
 	stop: () => void;
 };
 
 const tickMs = 100;
-/** Milliseconds after which what an endpoint said no longer keeps it out. */
-const reportLifeMs = 5000;
+/** Milliseconds after which a report of "not ready" no longer counts. */
+const reportMaxAgeMs = 5000;
 const msPerSecond = 1000;
 
-type Seen = {service: string; version: string; ready: boolean; report: EngineReport | undefined; at: number};
+type LastProbe = {service: string; version: string; ready: boolean; report: EngineReport | undefined; at: number};
 
-/** Creates a watch that has seen nothing yet. */
+/** Creates a watch without probe results. */
 export function createEndpointWatch(options: EndpointWatchOptions): EndpointWatch {
-	const seen = new Map<string, Seen>();
+	const lastProbes = new Map<string, LastProbe>();
 	let counts = new Map<string, Map<string, number>>();
 	let timer: NodeJS.Timeout | undefined;
-	let next = 0;
-	let owed = 0;
+	let nextIndex = 0;
+	let dueProbes = 0;
 
-	const note = (endpoint: Endpoint, report: EngineReport | undefined) => {
-		const before = seen.get(endpoint.name);
-		const now: Seen = {
+	const saveProbe = (endpoint: Endpoint, report: EngineReport | undefined) => {
+		const before = lastProbes.get(endpoint.name);
+		const now: LastProbe = {
 			service: endpoint.service, version: report?.version ?? before?.version ?? '', ready: report?.ready ?? false, report, at: performance.now(),
 		};
-		seen.set(endpoint.name, now);
+		lastProbes.set(endpoint.name, now);
 		if (before?.version === now.version && before.ready === now.ready && before.service === now.service) {
 			return;
 		}
 
-		count();
+		countReady();
 	};
 
-	/** Only endpoints that are configured still count. */
-	const count = () => {
+	/** Counts ready replicas, only of endpoints that are still configured. */
+	const countReady = () => {
 		counts = new Map();
 		for (const {name} of options.endpoints()) {
-			const known = seen.get(name);
+			const known = lastProbes.get(name);
 			if (known?.ready !== true) {
 				continue;
 			}
@@ -92,10 +92,10 @@
 	const probeOne = async (endpoint: Endpoint) => {
 		try {
 			const report = await options.probe(endpoint.address);
-			note(endpoint, report);
+			saveProbe(endpoint, report);
 			options.onReport(endpoint.name, report);
 		} catch {
-			note(endpoint, undefined);
+			saveProbe(endpoint, undefined);
 			options.onSilence(endpoint.name);
 		}
 	};
@@ -103,22 +103,22 @@
 	const tick = () => {
 		const endpoints = options.endpoints();
 		const perSecond = Math.min(options.mostPerSecond, endpoints.length * (msPerSecond / options.roundMs));
-		owed += perSecond * (tickMs / msPerSecond);
-		for (; owed >= 1 && endpoints.length > 0; owed--) {
-			next = (next + 1) % endpoints.length;
-			void probeOne(endpoints[next]);
+		dueProbes += perSecond * (tickMs / msPerSecond);
+		for (; dueProbes >= 1 && endpoints.length > 0; dueProbes--) {
+			nextIndex = (nextIndex + 1) % endpoints.length;
+			void probeOne(endpoints[nextIndex]);
 		}
 
-		if (seen.size > 2 * endpoints.length) {
-			forgetOthers(endpoints);
+		if (lastProbes.size > 2 * endpoints.length) {
+			removeUnconfigured(endpoints);
 		}
 	};
 
-	const forgetOthers = (endpoints: readonly Endpoint[]) => {
+	const removeUnconfigured = (endpoints: readonly Endpoint[]) => {
 		const names = new Set(endpoints.map(endpoint => endpoint.name));
-		for (const name of seen.keys()) {
+		for (const name of lastProbes.keys()) {
 			if (!names.has(name)) {
-				seen.delete(name);
+				lastProbes.delete(name);
 			}
 		}
 	};
@@ -126,11 +126,11 @@
 	return {
 		versionsOf: service => counts.get(service) ?? new Map<string, number>(),
 		isReady(endpoint) {
-			const known = seen.get(endpoint);
-			const isRecent = known !== undefined && performance.now() - known.at < reportLifeMs;
+			const known = lastProbes.get(endpoint);
+			const isRecent = known !== undefined && performance.now() - known.at < reportMaxAgeMs;
 			return !isRecent || known.report?.ready !== false;
 		},
-		lastReport: endpoint => seen.get(endpoint)?.report,
+		lastReport: endpoint => lastProbes.get(endpoint)?.report,
 		async sweep() {
 			await Promise.all(options.endpoints().slice(0, options.mostPerSecond).map(async endpoint => probeOne(endpoint)));
 		},
--- a/packages/router/src/lib/endpoints/engine-client.ts
+++ b/packages/router/src/lib/endpoints/engine-client.ts
@@ -1,6 +1,6 @@
 /**
- * Speaks to engines: one request per connection at a time, silence limits by
- * what arrives, and checks that an answer is the request's own.
+ * Calls engines over HTTP: one request per connection at a time, timeouts
+ * between received chunks, and a check that a response belongs to its request.
  */
 import {type Readable} from 'node:stream';
 import {errors, Pool} from 'undici';
@@ -13,9 +13,9 @@
 export type EngineClientOptions = {
 	/** Milliseconds to open a connection. */
 	connectMs: number;
-	/** Milliseconds to the first byte of the answer. */
+	/** Milliseconds to the first byte of the response. */
 	firstByteMs: number;
-	/** Milliseconds between two pieces of the answer. */
+	/** Milliseconds between two chunks of the response. */
 	silenceMs: number;
 };
 
@@ -25,29 +25,29 @@
 	address: string;
 	path: string;
 	requestId: string;
-	/** What the engine's prefix cache may share this request with. */
+	/** Requests with the same identity may share entries of the engine's prefix cache. */
 	cacheIdentity: string;
-	/** Weights version that must answer. */
+	/** Version of the weights that must serve the request. */
 	version: string;
-	/** Process that the placement assumed; empty when none is known. */
+	/** Incarnation of the engine process that the placement assumed; empty if none is known. */
 	incarnation: string;
-	/** Lower goes first. */
+	/** Lower values are served first. */
 	priority: number;
-	/** Milliseconds that are left of the caller's deadline. */
+	/** Milliseconds left until the caller's deadline. */
 	deadlineMs: number;
-	/** Position of the first event wanted; above 0 after a resume. */
+	/** Position of the first event to send; above 0 for a resume. */
 	resumeFrom: number;
 	body: string;
-	/** Ends the call; the engine sees its connection close and cancels. */
+	/** Aborts the call; the engine then cancels, since its connection closes. */
 	signal: AbortSignal;
 };
 
-/** An engine's answer, checked to be the request's own. */
+/** An engine's response, which was checked to belong to the request. */
 export type EngineAnswer = {
 	status: number;
 	contentType: string;
 	load: EngineLoad | undefined;
-	/** Yields the body; throws an endpoint error when it breaks or goes silent. */
+	/** Yields the body; throws an endpoint error if the connection breaks or stalls. */
 	chunks: AsyncIterable<Uint8Array>;
 };
 
@@ -59,11 +59,11 @@
 
 const statusOk = 200;
 const statusVersionMismatch = 409;
-const statusTooMany = 429;
+const statusTooManyRequests = 429;
 const statusServerError = 500;
 
 /**
- * Creates a client with no connection open.
+ * Creates a client without open connections.
  *
  * @example
  * const client = createEngineClient({connectMs: 500, firstByteMs: 15_000, silenceMs: 5_000});
@@ -88,10 +88,10 @@
 	};
 
 	/**
-	 * A device between the two ends can lose track of connections: they stay
-	 * open and silent while new ones work. The idle ones of the same pool were
-	 * opened through the same device, so none of them is used again. Requests
-	 * under way on them keep their own silence limits and end by those.
+	 * Stops using the pool of an address. A network device on the path can lose
+	 * track of connections: they stay open without traffic while new ones work.
+	 * Idle connections of the same pool were opened through the same device, so
+	 * none is used again. Requests in progress on them end by their own timeouts.
 	 */
 	const retire = (address: string) => {
 		const pool = pools.get(address);
@@ -122,12 +122,12 @@
 			engineCall.signal.removeEventListener('abort', cancel);
 		};
 
-		const goSilent = () => {
+		const onSilence = () => {
 			retire(engineCall.address);
-			abort.abort(new EndpointSilentError(`${engineCall.address} went silent; its connections are not used again.`));
+			abort.abort(new EndpointSilentError(`${engineCall.address} sent nothing within the time limit; its connections are not used again.`));
 		};
 
-		const timer = setTimeout(goSilent, options.firstByteMs);
+		const timer = setTimeout(onSilence, options.firstByteMs);
 		try {
 			const res = await poolOf(engineCall.address).request({
 				method: 'POST',
@@ -137,11 +137,11 @@
 				signal: abort.signal,
 			});
 			clearTimeout(timer);
-			const answer = {status: res.statusCode, headers: res.headers};
+			const head = {status: res.statusCode, headers: res.headers};
 			try {
-				checkAnswer(engineCall, answer);
+				checkResponse(engineCall, head);
 			} catch (error) {
-				// Never left in the pool: what else comes on it may be another's.
+				// The connection must not return to the pool: further data on it may belong to another request.
 				abort.abort(error);
 				res.body.on('error', () => undefined);
 				throw error;
@@ -151,14 +151,14 @@
 				status: res.statusCode,
 				contentType: textOf(res.headers['content-type']),
 				load: loadOf(res.headers),
-				chunks: guard(res.body, {
-					silenceMs: options.silenceMs, goSilent, release, abort,
+				chunks: readBody(res.body, {
+					silenceMs: options.silenceMs, onSilence, release, abort,
 				}),
 			};
 		} catch (error) {
 			clearTimeout(timer);
 			release();
-			throw translate(error, engineCall, abort.signal);
+			throw toEndpointError(error, engineCall, abort.signal);
 		}
 	}
 
@@ -172,35 +172,35 @@
 	};
 }
 
-type Guard = {silenceMs: number; goSilent: () => void; release: () => void; abort: AbortController};
+type BodyReadOptions = {silenceMs: number; onSilence: () => void; release: () => void; abort: AbortController};
 
-/** Watches the gaps between the pieces of an answer. */
-async function * guard(body: Readable, {silenceMs, goSilent, release, abort}: Guard): AsyncGenerator<Uint8Array> {
+/** Yields the chunks of a response and limits the time between them. */
+async function * readBody(body: Readable, {silenceMs, onSilence, release, abort}: BodyReadOptions): AsyncGenerator<Uint8Array> {
 	let reading = true;
 	const timer = setTimeout(() => {
 		if (reading) {
-			goSilent();
+			onSilence();
 		}
 	}, silenceMs);
-	let whole = false;
+	let isComplete = false;
 	try {
 		for await (const chunk of body) {
-			// While the caller is slow nobody reads, so no silence is counted.
+			// While a slow caller does not read, no chunk is taken and the time limit does not apply.
 			reading = false;
 			yield chunk as Uint8Array;
 			reading = true;
 			timer.refresh();
 		}
 
-		whole = true;
+		isComplete = true;
 	} catch (error) {
-		throw translateBody(error, abort.signal);
+		throw toBodyError(error, abort.signal);
 	} finally {
 		clearTimeout(timer);
 		release();
-		if (!whole) {
-			// What was abandoned half-way must not reach the next request.
-			abort.abort(new EndpointBrokenError('The answer was abandoned.'));
+		if (!isComplete) {
+			// The rest of an abandoned response must not reach the next request.
+			abort.abort(new EndpointBrokenError('The response was abandoned.'));
 		}
 	}
 }
@@ -219,16 +219,16 @@
 }
 
 type HeaderValue = string | string[] | undefined;
-type AnswerHead = {status: number; headers: Record<string, HeaderValue>};
+type ResponseHead = {status: number; headers: Record<string, HeaderValue>};
 
-/** Refuses what is not this request's answer or not the weights asked for. */
-function checkAnswer(call: EngineCall, {status, headers}: AnswerHead): void {
+/** Rejects a response that belongs to another request or to other weights. */
+function checkResponse(call: EngineCall, {status, headers}: ResponseHead): void {
 	const id = textOf(headers['x-request-id']);
 	if (id !== '' && id !== call.requestId) {
 		throw new EndpointCrossedError(`${call.address} answered request ${id} where ${call.requestId} was asked.`);
 	}
 
-	if (status === statusVersionMismatch || status === statusTooMany || status >= statusServerError) {
+	if (status === statusVersionMismatch || status === statusTooManyRequests || status >= statusServerError) {
 		throw new EndpointRefusedError(`${call.address} answered ${status}.`, status, loadOf(headers));
 	}
 
@@ -242,7 +242,7 @@
 	return typeof value === 'string' ? value : '';
 }
 
-/** Reads what the engine said of itself along with its answer. */
+/** Reads the load that the engine reported in the headers of its response. */
 function loadOf(headers: Record<string, HeaderValue>): EngineLoad | undefined {
 	const incarnation = textOf(headers['x-engine-incarnation']);
 	const [running, waiting, pendingPromptTokens] = textOf(headers['x-engine-load']).split(',').map(Number);
@@ -255,10 +255,10 @@
 	};
 }
 
-/** Codes of system errors that say that no connection came about. */
+/** Codes of system errors that mean that no connection was established. */
 const unreachableCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EHOSTDOWN', 'ENOTFOUND', 'UND_ERR_CONNECT_TIMEOUT']);
 
-function translate(error: unknown, call: EngineCall, signal: AbortSignal): unknown {
+function toEndpointError(error: unknown, call: EngineCall, signal: AbortSignal): unknown {
 	if (call.signal.aborted) {
 		return call.signal.reason;
 	}
@@ -279,10 +279,10 @@
 	return new EndpointBrokenError(`The connection to ${call.address} broke.`, {cause: error});
 }
 
-function translateBody(error: unknown, signal: AbortSignal): unknown {
+function toBodyError(error: unknown, signal: AbortSignal): unknown {
 	if (signal.aborted) {
 		return signal.reason;
 	}
 
-	return new EndpointBrokenError('The answer broke off before its end.', {cause: error});
+	return new EndpointBrokenError('The connection broke within the response.', {cause: error});
 }
--- a/packages/router/src/lib/endpoints/engine-probe.ts
+++ b/packages/router/src/lib/endpoints/engine-probe.ts
@@ -1,4 +1,4 @@
-/** Reads what an engine says of itself. */
+/** Reads the state that an engine reports. */
 import {Agent, request} from 'undici';
 import {z} from 'zod';
 import {EndpointBrokenError} from './endpoint-errors.js';
@@ -13,15 +13,15 @@
 	pendingPromptTokens: z.number(),
 });
 
-/** Asks engines for their state. */
+/** Probes engines for their state. */
 export type EngineProbe = {
 	probe: (address: string) => Promise<EngineReport>;
 	close: () => Promise<void>;
 };
 
 /**
- * Creates a probe. Each question takes a new connection: an old one may have
- * gone silent, and would then speak for the path instead of the engine.
+ * Creates a probe. Each request uses a new connection: an old one may be dead,
+ * and the failure would then be one of the network path, not of the engine.
  */
 export function createEngineProbe(options: {timeoutMs: number}): EngineProbe {
 	const agent = new Agent({pipelining: 0, connect: {timeout: options.timeoutMs}});
@@ -34,7 +34,7 @@
 				const state = stateSchema.parse(await res.body.json());
 				return {...state, ready: !state.loading};
 			} catch (error) {
-				throw new EndpointBrokenError(`${address} did not tell its state.`, {cause: error});
+				throw new EndpointBrokenError(`${address} did not report its state.`, {cause: error});
 			}
 		},
 		async close() {
--- a/packages/router/src/lib/endpoints/version-choice.ts
+++ b/packages/router/src/lib/endpoints/version-choice.ts
@@ -1,45 +1,45 @@
 /**
- * Which weights version a request asks for while a service changes from one to
- * another. The first replica with the new weights must not get all requests,
- * nor must requests fail until it is ready: workspaces move over one by one, in
- * step with the share of replicas that are ready.
+ * Chooses the weights version of a request during a rollout. The first replica
+ * with the new weights must not get all requests, and requests must not fail
+ * until it is ready: workspaces move to the new version one by one, in proportion
+ * to the share of replicas that are ready with it.
  */
 import {createHash} from 'node:crypto';
 
-/** How many replicas of each version of a service are ready; absent while nothing is known. */
+/** Number of ready replicas of a service by version; a version without a known one is absent. */
 export type ReadyVersions = ReadonlyMap<string, number>;
 
 const hashRange = 0x1_00_00_00_00;
 const hashBytes = 4;
 
-/** Where a workspace stands in the order of moving over, from 0 to 1. */
-function placeOf(workspace: string, service: string): number {
+/** Position of a workspace in the order of the rollout, from 0 to 1. */
+function rolloutPosition(workspace: string, service: string): number {
 	return createHash('sha256').update(`${service}/${workspace}`).digest().readUIntBE(0, hashBytes) / hashRange;
 }
 
 /**
- * Chooses the version for one workspace. Its cached prompts move with it once,
- * since its place in the order does not change.
+ * Chooses the version for one workspace. The position of a workspace is fixed, so
+ * it moves only once and its prompts are cached anew only once.
  *
  * @example
  * chooseVersion({service: 'wordsmith', version: 'w2'}, 'school-1', new Map([['w1', 9], ['w2', 3]]));
  */
 export function chooseVersion(service: {name: string; version: string}, workspace: string, ready: ReadyVersions): string {
 	let total = 0;
-	let other = service.version;
-	let mostOther = 0;
+	let otherVersion = service.version;
+	let otherCount = 0;
 	for (const [version, count] of ready) {
 		total += count;
-		if (version !== service.version && count > mostOther) {
-			other = version;
-			mostOther = count;
+		if (version !== service.version && count > otherCount) {
+			otherVersion = version;
+			otherCount = count;
 		}
 	}
 
-	const wanted = ready.get(service.version) ?? 0;
-	if (total === 0 || mostOther === 0 || wanted === total) {
+	const targetCount = ready.get(service.version) ?? 0;
+	if (total === 0 || otherCount === 0 || targetCount === total) {
 		return service.version;
 	}
 
-	return placeOf(workspace, service.name) < wanted / total ? service.version : other;
+	return rolloutPosition(workspace, service.name) < targetCount / total ? service.version : otherVersion;
 }
--- a/packages/router/src/lib/orders/byte-budget.ts
+++ b/packages/router/src/lib/orders/byte-budget.ts
@@ -1,14 +1,14 @@
-/** Bounds the bytes that calls hold in memory together. */
+/** Limits the total bytes that concurrent calls hold in memory. */
 
-/** A bound that calls share. */
+/** A memory limit shared by calls. */
 export type ByteBudget = {
-	/** Takes bytes; the returned function gives them back. `undefined` when too few are left. */
+	/** Reserves bytes and returns a function that releases them, or `undefined` if too few are left. */
 	take: (bytes: number) => (() => void) | undefined;
 };
 
-/** Creates a budget of so many bytes. */
-export function createByteBudget(mostBytes: number): ByteBudget {
-	let left = mostBytes;
+/** Creates a budget of `maxBytes` bytes. */
+export function createByteBudget(maxBytes: number): ByteBudget {
+	let left = maxBytes;
 	return {
 		take(bytes) {
 			if (bytes > left) {
--- a/packages/router/src/lib/orders/call-problems.ts
+++ b/packages/router/src/lib/orders/call-problems.ts
@@ -1,36 +1,35 @@
 /**
- * Answers that this program gives itself in place of an endpoint's, and what
- * each lets a caller conclude.
+ * Error responses that the router itself sends in place of an endpoint's
+ * response, and what a caller may conclude from each.
  */
 import {Buffer} from 'node:buffer';
-import {type AnswerSink} from './answer-sink.js';
+import {type AnswerSink} from './response-sink.js';
 import {requestFaults} from './request-checks.js';
 
 /**
- * Header that tells what became of a call. It is taken out of endpoints'
- * answers, so that a caller can rely on it.
+ * Header with the outcome of a call. It is removed from endpoints' responses, so
+ * that callers can rely on it.
  */
 export const outcomeHeader = 'x-call-outcome';
 
-/** What a caller may conclude. */
+/** Outcome of a call, as reported to the caller. */
 export type CallOutcome = 'answered' | 'not_run' | 'unknown' | 'ran' | 'in_progress' | 'no_answer';
 
 type Problem = {
 	status: number;
 	outcome: CallOutcome;
 	message: string;
-	/** Seconds after which a repeat may fare better; absent when a repeat never will. */
+	/** Seconds after which a repeat may succeed; absent if a repeat cannot succeed. */
 	retryAfterS?: number;
 };
 
-// An outcome that is not known is said with a status that HTTP clients do not
-// repeat on their own. They repeat 408, 409, 429 and 5xx, and a repeated order
-// without a key would run twice.
-const statusUnknown = 424;
+// HTTP clients retry 408, 409, 429 and 5xx on their own, and a retried order
+// without a key could run twice. They do not retry 424.
+const outcomeUnknownStatus = 424;
 
 const refusedFault = {status: 400, outcome: 'not_run'} as const;
 
-/** Every answer of this program's own, by its error code. */
+/** All error responses of the router, by error code. */
 export const callProblems = {
 	malformed_framing: {...refusedFault, message: requestFaults.malformed_framing},
 	malformed_host: {...refusedFault, message: requestFaults.malformed_host},
@@ -55,11 +54,11 @@
 		message: 'This entry point holds as many calls with keys as it has room for. The call did not run; send it again.',
 	},
 	outcome_unknown: {
-		status: statusUnknown, outcome: 'unknown',
+		status: outcomeUnknownStatus, outcome: 'unknown',
 		message: 'The call left for an endpoint and its answer was lost. It may have run. Do not send it again without asking the service first.',
 	},
 	answer_not_kept: {
-		status: statusUnknown, outcome: 'ran',
+		status: outcomeUnknownStatus, outcome: 'ran',
 		message: 'The call ran, and its answer is no longer available. Do not send it again.',
 	},
 	order_in_progress: {
@@ -84,17 +83,17 @@
 	},
 } as const satisfies Record<string, Problem>;
 
-/** Error code of an answer of this program's own. */
+/** Error code of a response in {@link callProblems}. */
 export type ProblemCode = keyof typeof callProblems;
 
-/** Facts that go with a problem. */
+/** Details of one error response. */
 export type ProblemDetail = {
 	requestId: string;
-	/** Status that the endpoint gave, where it is known. */
+	/** Status of the endpoint's response, if known. */
 	endpointStatus?: number | null;
 };
 
-/** Answers a call with a problem. */
+/** Answers a call with an error response. */
 export function sendProblem(sink: AnswerSink, code: ProblemCode, detail: ProblemDetail): void {
 	const problem: Problem = callProblems[code];
 	const error = {
@@ -109,7 +108,7 @@
 		String(body.byteLength),
 		outcomeHeader,
 		problem.outcome,
-		// Some clients repeat by this header before they look at the status.
+		// Some clients check this header before the status to decide on a retry.
 		'x-should-retry',
 		String(problem.retryAfterS !== undefined),
 	];
--- a/packages/router/src/lib/orders/credential-headers.ts
+++ b/packages/router/src/lib/orders/credential-headers.ts
@@ -1,10 +1,10 @@
 /**
- * Takes the caller's credentials, and the headers that concern one connection
- * only, out of a request before it goes to an endpoint.
+ * Removes the caller's credentials and the hop-by-hop headers from a request
+ * before it is sent to an endpoint.
  *
  * An endpoint that sees a key could act as its workspace, and its access log
- * would keep the key for good. So everything that may carry a key goes, by name
- * and by content: a key that was sent in an unexpected place is found there.
+ * would keep the key for good. So everything that may carry a key is removed, by
+ * name and by content: the latter finds a key that was sent in an unexpected place.
  */
 
 /** Headers that carry credentials, whatever their value. */
@@ -16,7 +16,7 @@
 ]);
 
 /**
- * Headers that concern one connection only (RFC 9110, section 7.6.1).
+ * Hop-by-hop headers (RFC 9110, section 7.6.1).
  *
  * @internal
  */
@@ -31,7 +31,7 @@
 	'http2-settings',
 ]);
 
-/** Headers that the sender of the next request sets itself. */
+/** Headers that the HTTP client sets itself on the outgoing request. */
 const replacedHeaders: ReadonlySet<string> = new Set([
 	'host',
 	'expect',
@@ -41,7 +41,7 @@
 /** Names of query parameters and cookies that carry a key. */
 const keyParameters: ReadonlySet<string> = new Set(['api_key', 'key', 'access_token']);
 
-/** Calls `visit` with each name (lower case, as sent) and value of a raw header list. */
+/** Yields the name (in lower case, and as sent) and the value of each header of a raw header list. */
 export function * headerPairs(rawHeaders: readonly string[]): Generator<{name: string; sentName: string; value: string}> {
 	for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
 		const sentName = rawHeaders[index];
@@ -73,8 +73,8 @@
 	}
 }
 
-/** Whether a key stands in a text, as it is or percent-encoded. */
-function carriesKey(text: string, presentedKey: string): boolean {
+/** Whether a text contains the key, literally or percent-encoded. */
+function containsKey(text: string, presentedKey: string): boolean {
 	if (presentedKey === '') {
 		return false;
 	}
@@ -86,7 +86,7 @@
 	const kept: string[] = [];
 	for (const cookie of value.split(';')) {
 		const name = cookie.split('=', 1)[0].trim().toLowerCase();
-		if (!keyParameters.has(name) && !carriesKey(cookie, presentedKey)) {
+		if (!keyParameters.has(name) && !containsKey(cookie, presentedKey)) {
 			kept.push(cookie.trim());
 		}
 	}
@@ -102,12 +102,12 @@
 }
 
 /**
- * The headers of a caller's request that an endpoint may see, as a flat list of
- * names and values.
+ * Returns the headers of a caller's request that an endpoint may see, as a flat
+ * list of names and values.
  *
- * Left out: credentials, every header or cookie in which the presented key
- * stands, headers of the connection (also those that `Connection` names), and
- * `Host`, `Expect` and `Content-Length`, which the sender sets anew.
+ * Removed are credentials, every header or cookie that contains the presented
+ * key, hop-by-hop headers (including those that `Connection` names), and `Host`,
+ * `Expect` and `Content-Length`, which the HTTP client sets itself.
  *
  * @example
  * const headers = forwardableHeaders(req.rawHeaders, presentedKey);
@@ -129,7 +129,7 @@
 			continue;
 		}
 
-		if (!carriesKey(value, presentedKey) && !carriesKey(sentName, presentedKey)) {
+		if (!containsKey(value, presentedKey) && !containsKey(sentName, presentedKey)) {
 			kept.push(sentName, value);
 		}
 	}
@@ -138,11 +138,11 @@
 }
 
 /**
- * The path and query of a request without parameters that carry a key. What
- * stays is passed on byte for byte, in its order. Parameters may be divided by
- * `&` or `;`, since some endpoints accept both.
+ * Removes the query parameters that carry a key. The rest stays byte for byte
+ * and in order. Parameters may be separated by `&` or `;`, since some endpoints
+ * accept both.
  *
- * @param presentedKey Also leaves out any parameter in which this key stands.
+ * @param presentedKey Parameters that contain this key are also removed.
  */
 export function stripKeyFromUrl(url: string, presentedKey = ''): string {
 	const start = url.indexOf('?');
@@ -159,7 +159,7 @@
 		}
 
 		const name = percentDecoded(part.split('=', 1)[0]).trim().toLowerCase();
-		if (keyParameters.has(name) || carriesKey(part, presentedKey)) {
+		if (keyParameters.has(name) || containsKey(part, presentedKey)) {
 			continue;
 		}
 
--- a/packages/router/src/lib/orders/endpoint-transport.ts
+++ b/packages/router/src/lib/orders/endpoint-transport.ts
@@ -1,18 +1,18 @@
-/** How one request reaches one endpoint: interfaces between decisions and sockets. */
+/** Interfaces of the transport that sends single requests to endpoints. */
 import {type Endpoint} from '../configuration/document.js';
 import {type FailureClass} from './failure-classes.js';
 
-/** An endpoint's name, and where it listens as a URL. */
+/** An endpoint's name and URL. */
 export type EndpointAddress = Pick<Endpoint, 'name' | 'address'>;
 
-/** Status and headers of an answer. */
-export type AnswerHead = {
+/** Status and headers of a response. */
+export type ResponseHead = {
 	status: number;
-	/** Flat list of names and values, as they came. */
+	/** Flat list of names and values, as received. */
 	headers: readonly string[];
 };
 
-/** A body to send: the whole of it, or a stream that opens for this attempt. */
+/** Body of a request: the whole content, or a stream that is opened for this attempt. */
 export type OutgoingBody
 	= | {kind: 'whole'; content: Uint8Array}
 		| {kind: 'stream'; length: number | undefined; open: () => AsyncIterable<Uint8Array>};
@@ -27,38 +27,38 @@
 	/** Absent when the request has no body. */
 	body?: OutgoingBody;
 	/**
-	 * Whether the request needs a connection that carries nothing else before or
-	 * after. Such a connection was proved alive by its handshake a moment ago, and
-	 * no answer to another request can come on it.
+	 * Whether the request needs a new connection that carries no other request.
+	 * The handshake has just shown that it works, and it cannot deliver the
+	 * response to another request.
 	 */
 	ownConnection: boolean;
 };
 
-/** What a transport tells of an exchange. After `end` or `failed` it tells nothing more. */
+/** Events of an exchange. None follows `end` or `failed`. */
 export type ExchangeEvents = {
 	/**
-	 * Asked in the same tick as the first byte is written. `false` keeps every
-	 * byte back, and the exchange fails as `withdrawn`.
+	 * Called in the tick in which the first byte is written. If it returns `false`,
+	 * no byte is sent and the exchange fails as `withdrawn`.
 	 */
 	leaving: (shared: boolean) => boolean;
-	/** A part of the request's body went out. */
+	/** A part of the request body was sent. */
 	progress: () => void;
-	head: (head: AnswerHead) => void;
+	head: (head: ResponseHead) => void;
 	data: (chunk: Uint8Array) => void;
 	end: (trailers: readonly string[]) => void;
 	failed: (failure: FailureClass, cause?: unknown) => void;
 };
 
-/** The sender's hold on an exchange. */
+/** Controls an exchange in progress. */
 export type Exchange = {
-	/** Stops `data` until {@link resume}; the endpoint then feels backpressure. */
+	/** Stops `data` until {@link resume}, which applies backpressure to the endpoint. */
 	pause: () => void;
 	resume: () => void;
 	/**
-	 * Gives the exchange up and destroys its connection, which is never used
-	 * again. `suspect` tells that the connection may have gone silent or carried
-	 * a foreign answer: idle connections to the same endpoint are then let go too,
-	 * since what broke one may have broken all.
+	 * Aborts the exchange and destroys its connection. `suspect` means that the
+	 * connection may be dead or carried the response to another request: idle
+	 * connections to the same endpoint are then closed too, since the same fault
+	 * may have affected all of them.
 	 */
 	abort: (reason: Error, suspect: boolean) => void;
 };
@@ -66,8 +66,8 @@
 /** Sends requests to endpoints. */
 export type EndpointTransport = {
 	send: (request: OutgoingRequest, events: ExchangeEvents) => Exchange;
-	/** The endpoint's answers carry request ids, so its connections may be reused. */
+	/** Declares that the endpoint's responses carry request ids, so that its connections may be reused. */
 	trustIds: (endpoint: EndpointAddress) => void;
-	/** Closes idle connections; exchanges under way end first. */
+	/** Closes idle connections after exchanges in progress have ended. */
 	close: () => Promise<void>;
 };
--- a/packages/router/src/lib/orders/exchange.ts
+++ b/packages/router/src/lib/orders/exchange.ts
@@ -1,24 +1,24 @@
 /**
- * One request to one endpoint: sends it, checks that the answer is its own and
- * whole, passes it on with backpressure, and classes what went wrong.
+ * Sends one request to one endpoint, checks that the response belongs to it and
+ * is complete, passes it on with backpressure, and classifies failures.
  */
-import {hasProvableEnd, identifyAnswer} from './answer-checks.js';
-import {type AnswerSink} from './answer-sink.js';
+import {isSelfDelimiting, identifyResponse} from './response-checks.js';
+import {type AnswerSink} from './response-sink.js';
 import {
-	type AnswerHead, type EndpointTransport, type Exchange, type OutgoingRequest,
+	type ResponseHead, type EndpointTransport, type Exchange, type OutgoingRequest,
 } from './endpoint-transport.js';
 import {type CallKind, type FailureClass} from './failure-classes.js';
 import {EndpointExchangeError} from './orders-errors.js';
 
-/** Limits on silence, in milliseconds. */
+/** Timeouts of an exchange, in milliseconds. */
 export type ExchangeLimits = {
 	/** For the request to be handed to a connection. */
 	connectMs: number;
-	/** From the last sent byte to the answer's head. */
+	/** From the last sent part of the request to the head of the response. */
 	firstByteMs: number;
-	/** Between two parts of an answer. */
+	/** Between two parts of the response. */
 	betweenBytesMs: number;
-	/** For a caller that reads nothing. */
+	/** For a caller that does not read. */
 	callerStallMs: number;
 };
 
@@ -30,32 +30,32 @@
 	kind: CallKind;
 	sink: AnswerSink;
 	limits: ExchangeLimits;
-	/** `performance.now()` at which the answer must have begun. */
+	/** `performance.now()` by which the response must have begun. */
 	deadline: number;
-	/** Asked last before the first byte leaves. */
-	mayLeave: () => boolean;
-	/** Told of answers that came for another request, or after their time. */
+	/** Called right before the first byte is sent; `false` withdraws the request. */
+	maySend: () => boolean;
+	/** Called when a response is dropped: it belongs to another request, or is too late. */
 	onDropped?: (why: 'crossed' | 'late') => void;
 };
 
-/** How an exchange ended. */
+/** Result of an exchange. */
 export type ExchangeResult
 	= | {answered: true; status: number}
-	/** `begun`: the caller has seen a part of the answer, and its connection was cut. */
+	/** `begun`: a part of the response was passed on, and the caller's connection was cut. */
 		| {answered: false; failure: FailureClass; begun: boolean; cause?: unknown};
 
-/** Sends a request and follows it to its end. Never rejects. */
+/** Sends a request and resolves once the exchange has ended. Never rejects. */
 export async function runExchange(options: ExchangeOptions): Promise<ExchangeResult> {
 	return new Promise(resolve => {
-		const follower = createFollower(options, resolve);
-		options.sink.onDrain(follower.callerDrained);
-		options.sink.onGone(follower.callerGone);
-		follower.send();
+		const handler = createExchangeHandler(options, resolve);
+		options.sink.onDrain(handler.callerDrained);
+		options.sink.onGone(handler.callerGone);
+		handler.send();
 	});
 }
 
-/** State and reactions of one exchange under way. */
-function createFollower(options: ExchangeOptions, resolve: (result: ExchangeResult) => void) {
+/** Creates the state and the event handlers of one exchange. */
+function createExchangeHandler(options: ExchangeOptions, resolve: (result: ExchangeResult) => void) {
 	const {sink, limits, request} = options;
 	const timer = createSilenceTimer();
 	let exchange: Exchange | undefined;
@@ -84,7 +84,7 @@
 		}
 	};
 
-	const abandon = (failure: FailureClass, text: string) => {
+	const abortWith = (failure: FailureClass, text: string) => {
 		if (settled) {
 			return;
 		}
@@ -94,16 +94,16 @@
 		exchange?.abort(reason, failure !== 'cancelled');
 	};
 
-	const watchHead = () => {
+	const startHeadTimer = () => {
 		const leftMs = options.deadline - performance.now();
 		timer.start(Math.min(limits.firstByteMs, leftMs), () => {
-			abandon(leftMs <= limits.firstByteMs ? 'late' : 'silent', 'The endpoint gave no answer in time.');
+			abortWith(leftMs <= limits.firstByteMs ? 'late' : 'silent', 'The endpoint did not respond in time.');
 		});
 	};
 
-	const watchBody = () => {
+	const startBodyTimer = () => {
 		timer.start(limits.betweenBytesMs, () => {
-			abandon('silent', 'The endpoint fell silent within its answer.');
+			abortWith('silent', 'The endpoint stopped sending within its response.');
 		});
 	};
 
@@ -113,22 +113,22 @@
 		}
 
 		callerReads = true;
-		watchBody();
+		startBodyTimer();
 		exchange?.resume();
 	};
 
-	const takeHead = (head: AnswerHead) => {
-		const identity = identifyAnswer(head, options.requestId);
-		// On a shared connection an answer without an id may be the late answer to
-		// an abandoned request: the caller would get what belongs to another.
+	const handleHead = (head: ResponseHead) => {
+		const identity = identifyResponse(head, options.requestId);
+		// On a shared connection, a response without an id may be the late response
+		// to an abandoned request, which belongs to another caller.
 		if (identity === 'foreign' || (identity === 'none' && shared)) {
 			options.onDropped?.('crossed');
-			abandon('crossed', 'The answer belongs to another request.');
+			abortWith('crossed', 'The response belongs to another request.');
 			return;
 		}
 
-		if (!hasProvableEnd(head, request.method)) {
-			abandon('unframed', 'The answer has neither a length nor chunks.');
+		if (!isSelfDelimiting(head, request.method)) {
+			abortWith('unframed', 'The response has neither a length nor chunks.');
 			return;
 		}
 
@@ -137,12 +137,12 @@
 		}
 
 		status = head.status;
-		watchBody();
+		startBodyTimer();
 		sink.start(head);
 	};
 
-	const takeData = (chunk: Uint8Array) => {
-		watchBody();
+	const handleData = (chunk: Uint8Array) => {
+		startBodyTimer();
 		if (sink.isGone() || sink.write(chunk)) {
 			return;
 		}
@@ -150,36 +150,36 @@
 		callerReads = false;
 		exchange?.pause();
 		timer.start(limits.callerStallMs, () => {
-			abandon('cancelled', 'The caller reads nothing.');
+			abortWith('cancelled', 'The caller does not read the response.');
 		});
 	};
 
 	const events = {
 		leaving(isShared: boolean) {
-			if (settled || !options.mayLeave()) {
+			if (settled || !options.maySend()) {
 				return false;
 			}
 
 			shared = isShared;
-			watchHead();
+			startHeadTimer();
 			return true;
 		},
 		progress() {
 			if (!settled && status === undefined) {
-				watchHead();
+				startHeadTimer();
 			}
 		},
-		head(head: AnswerHead) {
+		head(head: ResponseHead) {
 			if (settled) {
 				options.onDropped?.('late');
 				return;
 			}
 
-			takeHead(head);
+			handleHead(head);
 		},
 		data(chunk: Uint8Array) {
 			if (!settled) {
-				takeData(chunk);
+				handleData(chunk);
 			}
 		},
 		end(trailers: readonly string[]) {
@@ -194,18 +194,18 @@
 	return {
 		send() {
 			timer.start(limits.connectMs, () => {
-				abandon('connect_failed', 'No connection came about in time.');
+				abortWith('connect_failed', 'No connection was established in time.');
 			});
 			exchange = options.transport.send(request, events);
 		},
 		callerDrained: resumeReading,
 		callerGone() {
 			if (options.kind === 'idempotent') {
-				abandon('cancelled', 'The caller went away.');
+				abortWith('cancelled', 'The caller disconnected.');
 				return;
 			}
 
-			// An order that has left runs anyway: its answer is read to the end, so
+			// An order that was sent runs anyway. Its response is read to the end, so
 			// that its outcome is known.
 			resumeReading();
 		},
--- a/packages/router/src/lib/orders/failure-classes.ts
+++ b/packages/router/src/lib/orders/failure-classes.ts
@@ -1,56 +1,56 @@
 /**
  * What a failed exchange with an endpoint proves, and what follows from it.
  *
- * Every decision to retry, to say "not run" or to say "outcome unknown" is read
- * from the two tables below, so that no code path can weigh a failure anew.
+ * Every decision to retry or to report "not run" or "outcome unknown" is read
+ * from the two tables below, so that all code paths treat a failure alike.
  */
 
 /** What may have reached the endpoint when an exchange failed. */
 type Reach = 'nothing' | 'perhaps';
 
 /**
- * Ways in which an exchange fails. `nothing` is claimed only when the request
- * was never handed to a connected socket: a write that was handed over may have
- * left, whatever the socket says of it afterwards.
+ * Ways in which an exchange fails. `reach` is `nothing` only if the request was
+ * never handed to a connected socket: once written, bytes may have been sent,
+ * whatever the socket reports afterwards.
  */
 export const failureClasses = {
-	/** No connection came about, so there was none that bytes could leave on. */
+	/** No connection was established, so no bytes could be sent. */
 	connect_failed: {reach: 'nothing', blamesEndpoint: true},
-	/** The last question before the first byte was answered with no. */
+	/** The check right before the first byte refused to send. */
 	withdrawn: {reach: 'nothing', blamesEndpoint: false},
-	/** The sender found the request malformed before it had a connection. */
+	/** The HTTP client rejected the request as malformed before it had a connection. */
 	unsendable: {reach: 'nothing', blamesEndpoint: false},
-	/** The connection ended, at whatever byte, before an answer began. */
+	/** The connection ended, after any number of bytes, before a response began. */
 	reset: {reach: 'perhaps', blamesEndpoint: true},
-	/** No byte came for longer than the limit. */
+	/** No byte arrived within the time limit. */
 	silent: {reach: 'perhaps', blamesEndpoint: true},
-	/** The answer carries the id of another request, or lost the id. */
+	/** The response carries the id of another request, or no id where one is required. */
 	crossed: {reach: 'perhaps', blamesEndpoint: true},
-	/** The answer has neither length nor chunks: its end cannot be told from a cut. */
+	/** The response has neither a length nor chunks, so truncation cannot be detected. */
 	unframed: {reach: 'perhaps', blamesEndpoint: true},
-	/** The connection ended after the answer had begun. */
+	/** The connection ended after the response had begun. */
 	truncated: {reach: 'perhaps', blamesEndpoint: true},
-	/** The answer took longer than the call's deadline. */
+	/** The response did not begin before the call's deadline. */
 	late: {reach: 'perhaps', blamesEndpoint: true},
-	/** The caller went away, or does not read. */
+	/** The caller disconnected, or does not read. */
 	cancelled: {reach: 'perhaps', blamesEndpoint: false},
 } as const satisfies Record<string, {reach: Reach; blamesEndpoint: boolean}>;
 
 /** Name of a row of {@link failureClasses}. */
 export type FailureClass = keyof typeof failureClasses;
 
-/** Failures in which the endpoint's end of the connection went away. */
+/** Failures in which the endpoint closed or lost the connection. */
 export const brokenOff: ReadonlySet<FailureClass> = new Set(['reset', 'truncated']);
 
-/** Whether a call may run twice. */
+/** `idempotent` calls may run more than once, `once` calls may not. */
 export type CallKind = 'idempotent' | 'once';
 
 /**
- * What follows a failure before the caller saw any of the answer.
+ * What follows a failure before any part of the response was passed to the caller.
  *
  * - `elsewhere`: try another endpoint; nothing ran.
  * - `retry`: try another endpoint if the retry budget allows.
- * - `unknown`: stop, and say that the outcome is unknown.
+ * - `unknown`: stop, and report that the outcome is unknown.
  */
 export const nextSteps = {
 	nothing: {idempotent: 'elsewhere', once: 'elsewhere'},
--- a/packages/router/src/lib/orders/group-commit.ts
+++ b/packages/router/src/lib/orders/group-commit.ts
@@ -1,11 +1,11 @@
 /**
  * Batches conditional writes into transactions of the table service, which
- * takes only several hundred a second.
+ * accepts only several hundred transactions per second.
  *
- * While a transaction is under way, further groups wait for the next one, so a
- * busy process writes fuller transactions and an idle one waits for nobody. They
- * do not wait for one that takes long: its connection may have gone silent, and
- * every order would stand still behind it.
+ * While a transaction is in flight, further groups are queued for the next one:
+ * a busy process writes larger transactions, an idle one does not wait. A slow
+ * transaction does not block the queue, since its connection may be dead and all
+ * orders would wait for it.
  */
 import {PlatformUnavailableError} from '../platform/platform-errors.js';
 import {type TableClient, type TableRow, type TableWrite} from '../platform/platform.js';
@@ -14,13 +14,13 @@
 /** Writes that must take effect together. */
 export type WriteGroup = {
 	writes: TableWrite[];
-	/** Key of the row that tells, when an answer was lost, whether the group took effect. */
-	proofKey: string;
-	/** Whether that row, as it is now, shows that the group took effect. */
-	isProof: (row: TableRow) => boolean;
+	/** Key of the row that is read to find out whether the group took effect if the response is lost. */
+	readBackKey: string;
+	/** Whether that row, as read back, shows that the group took effect. */
+	isApplied: (row: TableRow) => boolean;
 };
 
-/** What became of a group. */
+/** Result of a group. */
 export type GroupResult
 	= | {committed: true; version: number}
 	/** A condition did not hold: another writer came first. */
@@ -29,38 +29,38 @@
 /** Options of {@link createGroupCommit}. */
 export type GroupCommitOptions = {
 	table: TableClient;
-	/** Transactions under way at once; 4 by default. */
-	mostUnderWay?: number;
-	/** Told of each transaction, with the number of its writes. */
+	/** Maximum number of concurrent transactions; 4 by default. */
+	maxInFlight?: number;
+	/** Called for each transaction with its number of writes. */
 	onTransaction?: (writes: number) => void;
 };
 
 /** Commits groups of writes. */
 export type GroupCommit = {
 	/**
-	 * Commits a group, sharing a transaction with others.
+	 * Commits a group, possibly in one transaction with others.
 	 *
-	 * @throws {OrderNotWrittenError} The group waited too long, and was never sent.
-	 * @throws {OrderStoreError} The store gave no answer, and reading back did not
-	 * show the group. It may still take effect later.
+	 * @throws {OrderNotWrittenError} The group waited too long and was never sent.
+	 * @throws {OrderStoreError} The write failed, or its response was lost and reading
+	 * back did not show the group. It may still take effect later.
 	 */
 	commit: (group: WriteGroup) => Promise<GroupResult>;
 };
 
-type Pending = {
+type QueuedGroup = {
 	group: WriteGroup;
 	resolve: (result: GroupResult) => void;
 	reject: (error: unknown) => void;
 };
 
-const mostWrites = 25;
-const defaultMostUnderWay = 4;
-/** Milliseconds that groups wait for a transaction under way. */
-const patienceMs = 50;
-/** Milliseconds that a group waits to be sent. */
-const longestWaitMs = 1000;
+const maxWrites = 25;
+const defaultMaxInFlight = 4;
+/** Milliseconds after which queued groups no longer wait for a transaction in flight. */
+const slowTransactionMs = 50;
+/** Milliseconds that a group may stay queued. */
+const maxQueueMs = 1000;
 
-function countWrites(queue: readonly Pending[]): number {
+function countWrites(queue: readonly QueuedGroup[]): number {
 	let count = 0;
 	for (const {group} of queue) {
 		count += group.writes.length;
@@ -69,14 +69,14 @@
 	return count;
 }
 
-/** Takes from the queue what fits one transaction; a key is written once in it. */
-function takeBatch(queue: Pending[]): Pending[] {
-	const batch: Pending[] = [];
+/** Takes the groups from the queue that fit into one transaction, which may write a key only once. */
+function takeBatch(queue: QueuedGroup[]): QueuedGroup[] {
+	const batch: QueuedGroup[] = [];
 	const keys = new Set<string>();
 	let count = 0;
 	while (queue.length > 0) {
 		const {writes} = queue[0].group;
-		if (batch.length > 0 && (count + writes.length > mostWrites || writes.some(write => keys.has(write.key)))) {
+		if (batch.length > 0 && (count + writes.length > maxWrites || writes.some(write => keys.has(write.key)))) {
 			break;
 		}
 
@@ -91,19 +91,19 @@
 	return batch;
 }
 
-/** Creates the committer of one process. */
+/** Creates the group commit of one process. */
 export function createGroupCommit(options: GroupCommitOptions): GroupCommit {
 	const {table} = options;
-	const queue: Pending[] = [];
-	const mostUnderWay = options.mostUnderWay ?? defaultMostUnderWay;
-	let underWay = 0;
+	const queue: QueuedGroup[] = [];
+	const maxInFlight = options.maxInFlight ?? defaultMaxInFlight;
+	let inFlight = 0;
 	let lastStart = 0;
 
-	/** Settles a lost answer by reading back each group's own row. */
-	const readBack = async ({group, resolve, reject}: Pending, cause: unknown) => {
+	/** Settles a group whose response was lost by reading its row back. */
+	const readBack = async ({group, resolve, reject}: QueuedGroup, cause: unknown) => {
 		try {
-			const row = await table.get(group.proofKey);
-			if (row !== undefined && group.isProof(row)) {
+			const row = await table.get(group.readBackKey);
+			if (row !== undefined && group.isApplied(row)) {
 				resolve({committed: true, version: row.version});
 				return;
 			}
@@ -114,7 +114,7 @@
 		}
 	};
 
-	const commitBatch = async (batch: Pending[]) => {
+	const commitBatch = async (batch: QueuedGroup[]) => {
 		let rest = batch;
 		while (rest.length > 0) {
 			const writes = rest.flatMap(pending => pending.group.writes);
@@ -122,15 +122,15 @@
 			const result = await table.transact(writes);
 			if (result.committed) {
 				for (const {group, resolve} of rest) {
-					resolve({committed: true, version: result.versions[group.proofKey]});
+					resolve({committed: true, version: result.versions[group.readBackKey]});
 				}
 
 				return;
 			}
 
-			// One lost race must not fail the others of the batch: they go again.
+			// Groups without a conflict must not fail with those that have one: they are sent again.
 			const conflicts = new Set(result.conflicts.map(conflict => conflict.key));
-			const again: Pending[] = [];
+			const again: QueuedGroup[] = [];
 			for (const pending of rest) {
 				if (pending.group.writes.some(write => conflicts.has(write.key))) {
 					pending.resolve({committed: false});
@@ -148,9 +148,9 @@
 	};
 
 	const run = async () => {
-		underWay++;
+		inFlight++;
 		lastStart = performance.now();
-		const patience = setTimeout(pump, patienceMs);
+		const slowTimer = setTimeout(pump, slowTransactionMs);
 		const batch = takeBatch(queue);
 		try {
 			await commitBatch(batch);
@@ -164,15 +164,15 @@
 				}
 			}));
 		} finally {
-			underWay--;
-			clearTimeout(patience);
+			inFlight--;
+			clearTimeout(slowTimer);
 			pump();
 		}
 	};
 
 	const mayStart = () => {
-		const isFree = underWay === 0 || performance.now() - lastStart >= patienceMs;
-		return queue.length > 0 && underWay < mostUnderWay && (isFree || countWrites(queue) >= mostWrites);
+		const isFree = inFlight === 0 || performance.now() - lastStart >= slowTransactionMs;
+		return queue.length > 0 && inFlight < maxInFlight && (isFree || countWrites(queue) >= maxWrites);
 	};
 
 	const pump = () => {
@@ -182,10 +182,11 @@
 	};
 
 	/**
-	 * While the store is silent, each transaction takes as long as its limit, and
-	 * orders would stand in the queue for minutes before they hear "not run".
+	 * Rejects a group that is still queued. While the store does not respond, each
+	 * transaction lasts until its timeout, and orders would be queued for minutes
+	 * before they are refused as not run.
 	 */
-	const giveUp = (pending: Pending) => {
+	const rejectQueued = (pending: QueuedGroup) => {
 		const index = queue.indexOf(pending);
 		if (index !== -1) {
 			queue.splice(index, 1);
@@ -199,9 +200,9 @@
 				const pending = {group, resolve, reject};
 				queue.push(pending);
 				setTimeout(() => {
-					giveUp(pending);
-				}, longestWaitMs).unref();
-				// Groups of one turn of the loop share a transaction.
+					rejectQueued(pending);
+				}, maxQueueMs).unref();
+				// Groups of the same event loop turn share a transaction.
 				setImmediate(pump);
 			});
 		},
--- a/packages/router/src/lib/orders/http-sink.ts
+++ b/packages/router/src/lib/orders/http-sink.ts
@@ -1,15 +1,15 @@
-/** The caller's side of a call over Node's HTTP server. */
+/** Response sink for Node's HTTP server. */
 import {type ServerResponse} from 'node:http';
-import {type AnswerSink} from './answer-sink.js';
-import {isBodiless, requestIdHeader} from './answer-checks.js';
+import {type AnswerSink} from './response-sink.js';
+import {isBodiless, requestIdHeader} from './response-checks.js';
 import {outcomeHeader} from './call-problems.js';
 import {connectionHeaders, connectionOptions, headerPairs} from './credential-headers.js';
-import {type AnswerHead} from './endpoint-transport.js';
+import {type ResponseHead} from './endpoint-transport.js';
 
-/** Headers of an endpoint's answer that concern its connection, or that this program sets. */
+/** Headers of an endpoint's response that are hop-by-hop or that the router sets itself. */
 const withheldHeaders: ReadonlySet<string> = new Set([...connectionHeaders, requestIdHeader]);
 
-/** Headers of an endpoint's answer that a caller may see. */
+/** Returns the headers of an endpoint's response that a caller may see. */
 export function callerHeaders(headers: readonly string[]): string[] {
 	const listed = connectionOptions(headers);
 	const kept: string[] = [];
@@ -22,13 +22,13 @@
 	return kept;
 }
 
-/** The answer of an endpoint as the caller gets it: its own outcome header counts for nothing. */
-export function endpointAnswer(head: AnswerHead): AnswerHead {
+/** Creates the response head for the caller; an outcome header set by the endpoint is dropped. */
+export function createCallerHead(head: ResponseHead): ResponseHead {
 	const headers: string[] = [];
 	for (const {name, sentName, value} of headerPairs(callerHeaders(head.headers))) {
-		// Some clients wait for a body of the stated length where none may follow.
-		const isUnfounded = name === 'content-length' && isBodiless(head.status);
-		if (name !== outcomeHeader && !isUnfounded) {
+		// Some clients wait for a body of the stated length even if the status allows none.
+		const isInapplicableLength = name === 'content-length' && isBodiless(head.status);
+		if (name !== outcomeHeader && !isInapplicableLength) {
 			headers.push(sentName, value);
 		}
 	}
@@ -46,7 +46,7 @@
 	return pairs;
 }
 
-/** Creates the sink of one response that nothing was written to yet. */
+/** Creates the sink of a response to which nothing has been written yet. */
 export function createHttpSink(res: ServerResponse): AnswerSink {
 	let gone = res.destroyed;
 	let chunked = false;
@@ -62,7 +62,7 @@
 		}
 	});
 	res.on('error', () => {
-		// A caller that went away is noticed by `close`.
+		// `close` reports that the caller disconnected.
 	});
 
 	return {
@@ -88,8 +88,8 @@
 		},
 		cut() {
 			const {socket} = res;
-			// A plain close could be taken for the end of an answer without length. A
-			// reset cannot, in any version of HTTP.
+			// A plain close could be taken for the end of a response without a length.
+			// A reset cannot, in any version of HTTP.
 			if (socket === null || 'encrypted' in socket) {
 				res.destroy();
 			} else {
@@ -106,7 +106,7 @@
 	};
 }
 
-/** Tells the caller under which id its request went, on every kind of answer. */
+/** Wraps a sink so that every response carries the request id. */
 export function createIdentifiedSink(sink: AnswerSink, requestId: string): AnswerSink {
 	return {
 		...sink,
@@ -116,12 +116,12 @@
 	};
 }
 
-/** Passes endpoints' answers on in the form that callers get. */
+/** Wraps a sink so that endpoints' responses get the headers that callers may see. */
 export function createEndpointSink(sink: AnswerSink): AnswerSink {
 	return {
 		...sink,
 		start(head) {
-			sink.start(endpointAnswer(head));
+			sink.start(createCallerHead(head));
 		},
 	};
 }
--- a/packages/router/src/lib/orders/keyed-call.ts
+++ b/packages/router/src/lib/orders/keyed-call.ts
@@ -1,16 +1,17 @@
 /**
- * Calls with an `Idempotency-Key`: a repeat through any process gets the stored
- * answer, waits for the call in progress, or learns that its outcome is unknown.
+ * Calls with an `Idempotency-Key`. A repeated request, through any process, gets
+ * the stored response, waits for the call in progress, or is told that the
+ * outcome is unknown.
  */
 import {Buffer} from 'node:buffer';
 import {type Endpoint, type PlainService} from '../configuration/document.js';
-import {type AnswerSink, createKeepingSink, type KeptAnswer} from './answer-sink.js';
+import {type AnswerSink, createRecordingSink, type RecordedResponse} from './response-sink.js';
 import {sendProblem} from './call-problems.js';
 import {
-	type Claim, type ClaimedOrder, type FoundOrder, type OrderBook, type OrderEnd,
-} from './order-book.js';
+	type Claim, type ClaimedOrder, type FoundOrder, type OrderStore, type OrderOutcome,
+} from './order-store.js';
 import {
-	type AnsweredOrder, keyedOrderKey, mostPathCharacters, type PendingOrder, requestDigest,
+	type AnsweredOrder, keyedOrderKey, maxPathCharacters, type PendingOrder, requestDigest,
 } from './order-rows.js';
 import {OrderStoreError} from './orders-errors.js';
 import {type CallResult, type ReadyCall} from './run-call.js';
@@ -18,27 +19,27 @@
 
 /** Limits on keyed calls, in milliseconds and bytes. */
 export type KeyedLimits = {
-	/** From the start of the claim to the first byte; later the call is withdrawn. */
+	/** From the start of the claim to the first byte sent; after that the call is withdrawn. */
 	dispatchWithinMs: number;
-	/** From the claim to the end of the answer; repeats then say "unknown". */
+	/** From the claim to the end of the response; after that, repeats get "unknown". */
 	longestCallMs: number;
-	/** How far the wall clocks of two VMs may differ. */
+	/** Largest difference between the wall clocks of two VMs. */
 	clockMarginMs: number;
-	/** Longest body of a stored answer. */
+	/** Longest response body that is stored. */
 	mostKeptBytes: number;
 };
 
-/** What {@link createKeyedCalls} works with. */
+/** Options of {@link createKeyedCalls}. */
 export type KeyedCallsOptions = {
-	book: OrderBook;
+	orderStore: OrderStore;
 	run: (call: ReadyCall, sink: AnswerSink) => Promise<CallResult>;
 	lookUp: (service: PlainService, endpoint: Endpoint, requestId: string) => Promise<KnownRun | undefined>;
 	limits: KeyedLimits;
-	/** A new random token for each intent. */
+	/** Creates a random token for each intent record. */
 	newToken: () => string;
-	/** Whether this process is stopping: repeats then wait elsewhere. */
+	/** Whether this process is stopping; repeats then stop waiting here and are sent again elsewhere. */
 	isStopping: () => boolean;
-	/** An outcome could not be recorded; repeats will hear that it is unknown. */
+	/** Called when an outcome could not be recorded; repeats then get "unknown". */
 	onUnrecorded: (service: string) => void;
 };
 
@@ -56,9 +57,9 @@
 export type KeyedResult = 'answered' | 'replayed' | 'not_run' | 'unknown' | 'in_progress' | 'refused' | 'store_unavailable';
 
 const firstPollMs = 50;
-const longestPollMs = 1000;
+const maxPollMs = 1000;
 
-function endOf(kept: KeptAnswer | undefined, status: number): OrderEnd {
+function answeredOutcome(kept: RecordedResponse | undefined, status: number): OrderOutcome {
 	return {
 		state: 'answered',
 		status,
@@ -69,7 +70,7 @@
 	};
 }
 
-/** Gives a repeat the answer that its first call got. */
+/** Answers a repeat with the stored response of the first call. */
 function replay(sink: AnswerSink, order: AnsweredOrder, requestId: string): void {
 	if (order.status === null || order.body === null) {
 		sendProblem(sink, 'answer_not_kept', {requestId, endpointStatus: order.status});
@@ -92,10 +93,10 @@
 	return keyedOrderKey(keyed.workspace, keyed.service.name, keyed.idempotencyKey);
 }
 
-/** Creates the handling of keyed calls of one process. */
+/** Creates the handler of keyed calls of one process. */
 export function createKeyedCalls(options: KeyedCallsOptions) {
-	const {book, limits} = options;
-	/** Calls of this process under way, whose repeats need not ask the table. */
+	const {orderStore, limits} = options;
+	/** Calls in progress in this process, by order key; repeats wake as soon as they end. */
 	const inProgress = new Map<string, Promise<unknown>>();
 
 	const intentOf = (keyed: KeyedCall): PendingOrder => {
@@ -108,14 +109,14 @@
 			workspace: keyed.workspace,
 			service: keyed.service.name,
 			method: keyed.call.method,
-			path: keyed.call.path.slice(0, mostPathCharacters),
+			path: keyed.call.path.slice(0, maxPathCharacters),
 			createdMs,
 			giveUpMs: createdMs + Math.max(limits.longestCallMs, keyed.call.deadline - performance.now()),
 		};
 	};
 
-	const record = async (order: ClaimedOrder, end: OrderEnd) => {
-		if (!await book.finish(order, end)) {
+	const record = async (order: ClaimedOrder, end: OrderOutcome) => {
+		if (!await orderStore.finish(order, end)) {
 			options.onUnrecorded(order.row.service);
 		}
 	};
@@ -123,7 +124,7 @@
 	const settleUnknown = async (keyed: KeyedCall, order: ClaimedOrder, result: CallResult & {kind: 'unknown'}, sink: AnswerSink): Promise<KeyedResult> => {
 		const {requestId} = keyed.call;
 		const known = await options.lookUp(keyed.service, result.endpoint, requestId);
-		const end: OrderEnd = known === undefined
+		const end: OrderOutcome = known === undefined
 			? {state: 'unknown', endpoint: result.endpoint.name, reason: result.failure}
 			: {
 				state: 'answered', status: known.status, headers: [], body: null, trailers: [], by: 'status look-up',
@@ -137,16 +138,16 @@
 	};
 
 	const dispatch = async (keyed: KeyedCall, order: ClaimedOrder, claimedAt: {monotonic: number; wall: number}, sink: AnswerSink): Promise<KeyedResult> => {
-		const keeping = createKeepingSink(sink, limits.mostKeptBytes);
-		// A process paused after its claim may wake when an operator has ruled that
-		// the order never ran. Both clocks are asked, since the monotonic one may
-		// stand still while a VM is suspended and the wall clock may be set back.
-		const mayLeave = () => keyed.call.mayLeave()
+		const recordingSink = createRecordingSink(sink, limits.mostKeptBytes);
+		// A process that was paused after its claim may resume after an operator has
+		// settled the order as never run. Both clocks are checked: the monotonic
+		// clock may stop while a VM is suspended, and the wall clock may be set back.
+		const maySend = () => keyed.call.maySend()
 			&& performance.now() - claimedAt.monotonic < limits.dispatchWithinMs
 			&& Date.now() - claimedAt.wall < limits.dispatchWithinMs;
-		const result = await options.run({...keyed.call, mayLeave}, keeping);
+		const result = await options.run({...keyed.call, maySend}, recordingSink);
 		if (result.kind === 'answered') {
-			void record(order, endOf(keeping.kept(), result.status));
+			void record(order, answeredOutcome(recordingSink.recorded(), result.status));
 			return 'answered';
 		}
 
@@ -159,7 +160,7 @@
 		return settleUnknown(keyed, order, result, sink);
 	};
 
-	/** Waits while the order is in progress, but no longer than the caller does. */
+	/** Waits while the order is in progress, at most until the caller's deadline. */
 	const waitForOutcome = async (first: FoundOrder, keyed: KeyedCall, sink: AnswerSink): Promise<FoundOrder> => {
 		const key = keyOf(keyed);
 		let found = first;
@@ -170,10 +171,10 @@
 				break;
 			}
 
-			await pauseOr(inProgress.get(key), pollMs);
-			pollMs = Math.min(2 * pollMs, longestPollMs);
+			await waitAtMost(inProgress.get(key), pollMs);
+			pollMs = Math.min(2 * pollMs, maxPollMs);
 			try {
-				found = await book.find(key) ?? found;
+				found = await orderStore.find(key) ?? found;
 			} catch (error) {
 				if (!(error instanceof OrderStoreError)) {
 					throw error;
@@ -184,7 +185,7 @@
 		return found;
 	};
 
-	const answerExisting = async (keyed: KeyedCall, existing: FoundOrder, digest: string, sink: AnswerSink): Promise<KeyedResult | 'again'> => {
+	const answerRepeat = async (keyed: KeyedCall, existing: FoundOrder, digest: string, sink: AnswerSink): Promise<KeyedResult | 'again'> => {
 		const {requestId} = keyed.call;
 		if (existing.row.digest !== digest) {
 			sendProblem(sink, 'key_reused', {requestId});
@@ -215,10 +216,10 @@
 		}
 	};
 
-	/** `undefined` when the store cannot tell: then nothing is dispatched. */
+	/** Resolves to `undefined` when the store fails; nothing may be dispatched then. */
 	const claimOrRefuse = async (key: string, row: PendingOrder): Promise<Claim | undefined> => {
 		try {
-			return await book.claim(key, row);
+			return await orderStore.claim(key, row);
 		} catch (error) {
 			if (error instanceof OrderStoreError) {
 				return undefined;
@@ -239,7 +240,7 @@
 	};
 
 	return {
-		/** Answers one keyed call. Does not reject because of the store. */
+		/** Answers one keyed call. Store errors are answered, not thrown. */
 		async handle(keyed: KeyedCall, sink: AnswerSink): Promise<KeyedResult> {
 			for (;;) {
 				const startedAt = performance.now();
@@ -254,16 +255,16 @@
 					return dispatchOnce(keyed, claim.order, startedAt, sink);
 				}
 
-				const answer = await answerExisting(keyed, claim.found, row.digest, sink);
-				if (answer !== 'again') {
-					return answer;
+				const repeatResult = await answerRepeat(keyed, claim.found, row.digest, sink);
+				if (repeatResult !== 'again') {
+					return repeatResult;
 				}
 			}
 		},
 	};
 }
 
-async function pauseOr(work: Promise<unknown> | undefined, ms: number): Promise<void> {
+async function waitAtMost(work: Promise<unknown> | undefined, ms: number): Promise<void> {
 	await new Promise<void>(resolve => {
 		const timer = setTimeout(resolve, ms);
 		const wake = () => {
--- a/packages/router/src/lib/orders/order-book.ts
+++ b/packages/router/src/lib/orders/order-store.ts
@@ -1,8 +1,9 @@
 /**
- * The record of orders: who may dispatch one, and what became of it.
+ * Stores orders: which process may dispatch one, and its outcome.
  *
- * Only the writer of an intent ever dispatches it, and nobody takes an intent
- * over. A dispatcher that is paused for however long is then still the only one.
+ * Before a process dispatches an order it writes an intent, a row in the state
+ * `pending`. Only the writer dispatches it, and no other process takes it over,
+ * so an order has one dispatcher even if that process is paused for long.
  */
 import {type TableClient, type TableRow} from '../platform/platform.js';
 import {pause} from '../time/pause.js';
@@ -12,7 +13,7 @@
 } from './order-rows.js';
 import {OrderNotWrittenError, OrderStoreError} from './orders-errors.js';
 
-/** An intent that this process wrote, and alone may dispatch. */
+/** An intent that this process wrote and that only it may dispatch. */
 export type ClaimedOrder = {
 	key: string;
 	row: PendingOrder;
@@ -20,66 +21,66 @@
 	version: number;
 };
 
-/** An order as it stands in the table. */
+/** An order as stored in the table. */
 export type FoundOrder = {row: OrderRow; version: number};
 
-/** What came of asking for the right to dispatch an order. */
+/** Result of claiming the right to dispatch an order. */
 export type Claim
 	= | {kind: 'mine'; order: ClaimedOrder}
 		| {kind: 'existing'; found: FoundOrder};
 
 /** An outcome to record. */
-export type OrderEnd
+export type OrderOutcome
 	= | {state: 'answered'; status: number | null; headers: readonly string[]; body: string | null; trailers: readonly string[]; by: string}
 		| {state: 'unknown'; endpoint: string; reason: string}
 		| {state: 'released'; by: string};
 
-/** Options of {@link createOrderBook}. */
-export type OrderBookOptions = {
+/** Options of {@link createOrderStore}. */
+export type OrderStoreOptions = {
 	table: TableClient;
 	groupCommit: GroupCommit;
 	/** Milliseconds that an order with an outcome is kept. */
 	keepMs: number;
-	/** Milliseconds during which a write that failed is tried again. */
+	/** Milliseconds during which a failed write is retried. */
 	persistMs: number;
 };
 
-/** The record of orders. */
-export type OrderBook = {
+/** Reads and writes orders. */
+export type OrderStore = {
 	/**
-	 * Writes an intent, unless the key has one already.
+	 * Writes an intent, unless the key already has an order.
 	 *
 	 * @throws {OrderStoreError} Nothing may be dispatched. If the intent was or
-	 * will be written all the same, it is released in the background.
+	 * will be written nevertheless, it is released in the background.
 	 */
 	claim: (key: string, row: PendingOrder) => Promise<Claim>;
 	/** @throws {OrderStoreError} */
 	find: (key: string) => Promise<FoundOrder | undefined>;
-	/** Records an outcome, trying again while the store is down. Resolves to false when it could not. */
-	finish: (order: ClaimedOrder, end: OrderEnd) => Promise<boolean>;
-	/** Records the outcome of an order that had no intent. Resolves to false when it could not. */
-	record: (key: string, row: PendingOrder, end: OrderEnd) => Promise<boolean>;
-	/** Resolves once no write is under way. */
+	/** Records an outcome, with retries while the store is down. Resolves to `false` on failure. */
+	finish: (order: ClaimedOrder, end: OrderOutcome) => Promise<boolean>;
+	/** Records the outcome of an order without an intent. Resolves to `false` on failure. */
+	record: (key: string, row: PendingOrder, end: OrderOutcome) => Promise<boolean>;
+	/** Resolves once no write is in flight. */
 	settled: () => Promise<void>;
 };
 
-/** The table takes 65,536 characters in a row. */
-const mostRowCharacters = 65_000;
-const mostClaimRounds = 3;
+/** The table accepts 65,536 characters per row. */
+const maxRowCharacters = 65_000;
+const maxClaimRounds = 3;
 const firstPauseMs = 50;
-const longestPauseMs = 2000;
+const maxPauseMs = 2000;
 
-/** An answer that no row can hold is kept as having come, without what it said. */
-function fitted(row: AnsweredOrder): AnsweredOrder {
-	return JSON.stringify(row).length <= mostRowCharacters
+/** Drops headers, body and trailers of a response that does not fit into a row; its status stays. */
+function fitToRowLimit(row: AnsweredOrder): AnsweredOrder {
+	return JSON.stringify(row).length <= maxRowCharacters
 		? row
 		: {
 			...row, headers: [], body: null, trailers: [],
 		};
 }
 
-/** Row of an order that ended. */
-export function endedRow(row: OrderRow, end: OrderEnd): OrderRow {
+/** Creates the row of an order that has an outcome. */
+export function rowWithOutcome(row: OrderRow, end: OrderOutcome): OrderRow {
 	const {
 		token, digest, requestId, workspace, service, method, path, createdMs, giveUpMs,
 	} = row;
@@ -90,23 +91,23 @@
 		const answered: AnsweredOrder = {
 			...base, ...end, headers: [...end.headers], trailers: [...end.trailers],
 		};
-		return fitted(answered);
+		return fitToRowLimit(answered);
 	}
 
 	return {...base, ...end};
 }
 
-/** Creates the record of orders of one process. */
-export function createOrderBook(options: OrderBookOptions): OrderBook {
+/** Creates the order store of one process. */
+export function createOrderStore(options: OrderStoreOptions): OrderStore {
 	const {table, groupCommit} = options;
-	const underWay = new Set<Promise<unknown>>();
+	const writesInFlight = new Set<Promise<unknown>>();
 
 	const track = async <Result>(work: Promise<Result>): Promise<Result> => {
-		underWay.add(work);
+		writesInFlight.add(work);
 		try {
 			return await work;
 		} finally {
-			underWay.delete(work);
+			writesInFlight.delete(work);
 		}
 	};
 
@@ -121,7 +122,7 @@
 		return row === undefined ? undefined : {row: parseOrder(row.value), version: row.version};
 	};
 
-	/** Tries again until done, refused, or out of time. */
+	/** Retries on store errors until `persistMs` have passed. */
 	const persist = async (attempt: () => Promise<boolean>): Promise<boolean> => {
 		const end = performance.now() + options.persistMs;
 		let pauseMs = firstPauseMs;
@@ -135,33 +136,33 @@
 			}
 
 			await pause(pauseMs);
-			pauseMs = Math.min(2 * pauseMs, longestPauseMs);
+			pauseMs = Math.min(2 * pauseMs, maxPauseMs);
 		}
 	};
 
-	const showsMine = async (key: string, row: OrderRow) => {
+	const isStored = async (key: string, row: OrderRow) => {
 		const found = await find(key);
 		return found?.row.token === row.token && found.row.state === row.state;
 	};
 
-	/** `false` when another writer came first. */
+	/** Resolves to `false` if another writer came first. */
 	const write = async (key: string, row: OrderRow, version: number): Promise<boolean> => {
 		const result = await groupCommit.commit({
 			// An unknown outcome stays in the open index until someone settles it.
 			writes: row.state === 'unknown'
 				? openingWrites(key, row, version)
 				: closingWrites(key, row, version, Date.now() + options.keepMs),
-			proofKey: key,
-			isProof: found => showsRow(found, row),
+			readBackKey: key,
+			isApplied: found => isSameRow(found, row),
 		});
-		// An earlier try, whose answer was lost, may be what came first.
-		return result.committed || showsMine(key, row);
+		// The conflict may stem from an earlier attempt of this write whose response was lost.
+		return result.committed || isStored(key, row);
 	};
 
 	/**
-	 * Closes an intent that was never dispatched and whose write may show at any
-	 * time. A released row in its place keeps a late write from taking effect, so
-	 * that the key is not left unknown for good.
+	 * Releases an intent that was never dispatched and whose write may still take
+	 * effect. Writing a released row makes a late write of the intent fail its
+	 * condition; otherwise the key would stay unknown for good.
 	 */
 	const release = async (key: string, row: PendingOrder, ifVersion: number) => persist(async () => {
 		const found = await find(key);
@@ -174,20 +175,20 @@
 			return true;
 		}
 
-		if (await write(key, endedRow(row, {state: 'released', by: 'dispatcher'}), version)) {
+		if (await write(key, rowWithOutcome(row, {state: 'released', by: 'dispatcher'}), version)) {
 			return true;
 		}
 
 		throw new OrderStoreError('The late write of an intent came first. It is released next.');
 	});
 
-	/** Version of the written intent; `undefined` when another writer came first. */
+	/** Resolves to the version of the written intent, or `undefined` if another writer came first. */
 	const tryClaim = async (key: string, row: PendingOrder, ifVersion: number) => {
 		try {
 			const result = await groupCommit.commit({
 				writes: openingWrites(key, row, ifVersion),
-				proofKey: key,
-				isProof: shown => showsRow(shown, row),
+				readBackKey: key,
+				isApplied: shown => isSameRow(shown, row),
 			});
 			return result.committed ? result.version : undefined;
 		} catch (error) {
@@ -201,9 +202,9 @@
 
 	return {
 		async claim(key, row) {
-			// A new key is the usual case, and is claimed without a read before.
+			// The key is usually new, so it is claimed without a read first.
 			let ifVersion = 0;
-			for (let round = 0; round < mostClaimRounds; round++) {
+			for (let round = 0; round < maxClaimRounds; round++) {
 				const version = await tryClaim(key, row, ifVersion);
 				if (version !== undefined) {
 					return {kind: 'mine', order: {key, row, version}};
@@ -221,21 +222,21 @@
 		},
 		find,
 		async finish(order, end) {
-			const row = endedRow(order.row, end);
+			const row = rowWithOutcome(order.row, end);
 			return track(persist(async () => write(order.key, row, order.version)));
 		},
 		async record(key, row, end) {
-			return track(persist(async () => write(key, endedRow(row, end), 0)));
+			return track(persist(async () => write(key, rowWithOutcome(row, end), 0)));
 		},
 		async settled() {
-			while (underWay.size > 0) {
-				await Promise.allSettled(underWay);
+			while (writesInFlight.size > 0) {
+				await Promise.allSettled(writesInFlight);
 			}
 		},
 	};
 }
 
-function showsRow(found: TableRow, row: OrderRow): boolean {
+function isSameRow(found: TableRow, row: OrderRow): boolean {
 	const shown = parseOrder(found.value);
 	return shown.token === row.token && shown.state === row.state;
 }
--- a/packages/router/src/lib/orders/orders-errors.ts
+++ b/packages/router/src/lib/orders/orders-errors.ts
@@ -1,17 +1,17 @@
 /** Errors of calls to plain services. */
 import {LayerError} from '../errors/layer-error.js';
 
-/** An exchange with an endpoint was given up or refused. */
+/** An exchange with an endpoint was aborted or refused. */
 export class EndpointExchangeError extends LayerError {
 	readonly code = 'endpoint_exchange';
 }
 
-/** The record of orders could not be read or written; nothing was dispatched. */
+/** The order store could not be read or written; nothing was dispatched. */
 export class OrderStoreError extends LayerError {
 	readonly code: string = 'order_store_unavailable';
 }
 
-/** A write of the record of orders waited too long in this process and was never sent. */
+/** A write to the order store was queued for too long in this process and was never sent. */
 export class OrderNotWrittenError extends OrderStoreError {
 	override readonly code = 'order_not_written';
 }
@@ -21,7 +21,7 @@
 	readonly code = 'order_not_unknown';
 }
 
-/** It is too early to rule that an order never ran. */
+/** It is too early to settle an order as never run. */
 export class OrderTooRecentError extends LayerError {
 	readonly code = 'order_too_recent';
 
--- a/packages/router/src/lib/orders/request-body.ts
+++ b/packages/router/src/lib/orders/request-body.ts
@@ -1,28 +1,28 @@
 /**
- * The body of a caller's request, read once from its connection and opened for
- * one or more attempts in bounded memory.
+ * The body of a caller's request. It is read once from the connection and can be
+ * opened for several attempts in bounded memory.
  */
 import {Buffer} from 'node:buffer';
 
-/** A body that is on its way in. */
+/** A request body that is still being received. */
 export type RequestBody = {
-	/** Length in bytes; `undefined` when the body comes in chunks. */
+	/** Length in bytes; `undefined` when the body is chunked. */
 	length: number | undefined;
-	/** Whether {@link open} would give the whole body from its first byte. */
+	/** Whether {@link open} would yield the whole body from its first byte. */
 	canOpen: () => boolean;
-	/** The body from its first byte; one reader at a time. */
+	/** Reads the body from its first byte; one reader at a time. */
 	open: () => AsyncIterable<Uint8Array>;
-	/** The whole body; `undefined` when it is longer than `limit` bytes. */
+	/** Reads the whole body; resolves to `undefined` if it is longer than `limit` bytes. */
 	readAll: (limit: number) => Promise<Uint8Array | undefined>;
 };
 
 /** Options of {@link createRequestBody}. */
 export type RequestBodyOptions = {
-	/** Where chunks come from; read only as fast as the attempt takes them. */
+	/** Source of the chunks; read only as fast as the attempt consumes them. */
 	source: AsyncIterator<Uint8Array>;
-	/** Length in bytes, when the caller stated it. */
+	/** Length in bytes, if the caller stated it. */
 	length?: number;
-	/** Bytes that are kept for a further attempt; a longer body opens once. */
+	/** Bytes that are kept for another attempt; a longer body can be opened only once. */
 	replayBytes: number;
 };
 
@@ -67,7 +67,7 @@
 				return;
 			}
 
-			// An abandoned attempt may wait for the same chunk: each finds it in `kept`.
+			// An abandoned attempt may be waiting for the same chunk; both read it from `kept`.
 			await pull();
 		}
 	}
--- a/packages/router/src/lib/orders/request-checks.ts
+++ b/packages/router/src/lib/orders/request-checks.ts
@@ -1,10 +1,10 @@
 /**
- * Refuses requests that two HTTP implementations could read differently.
+ * Refuses requests that two HTTP implementations could parse differently.
  *
- * Where this program and an endpoint disagree on the end of a request, the rest
- * of one caller's body becomes the next caller's request on that connection
- * (request smuggling). Node's parser refuses most such messages; the checks
- * here are for what it lets through.
+ * If the router and an endpoint disagree on where a request ends, the rest of
+ * one caller's body becomes the next caller's request on that connection
+ * (request smuggling). Node's parser refuses most such messages; these checks
+ * cover those that it accepts.
  */
 import {connectionOptions, headerPairs} from './credential-headers.js';
 
@@ -17,7 +17,7 @@
 	rawHeaders: readonly string[];
 };
 
-/** Codes of refused requests, with the fault in words. */
+/** Codes of refused requests, with their messages. */
 export const requestFaults = {
 	malformed_framing: 'The length of the body is given in a way that can be read differently. Send one Content-Length, or Transfer-Encoding: chunked.',
 	malformed_host: 'Send exactly one Host header.',
@@ -34,7 +34,7 @@
 const visibleAscii = /^[!-~]*$/v;
 const dotSegment = /^(?:\.|%2e){1,2}$/iv;
 
-function values(rawHeaders: readonly string[], wanted: string): string[] {
+function headerValues(rawHeaders: readonly string[], wanted: string): string[] {
 	const found: string[] = [];
 	for (const {name, value} of headerPairs(rawHeaders)) {
 		if (name === wanted) {
@@ -45,9 +45,9 @@
 	return found;
 }
 
-function hasSoundFraming(head: RequestHead): boolean {
-	const lengths = values(head.rawHeaders, 'content-length');
-	const encodings = values(head.rawHeaders, 'transfer-encoding');
+function hasUnambiguousFraming(head: RequestHead): boolean {
+	const lengths = headerValues(head.rawHeaders, 'content-length');
+	const encodings = headerValues(head.rawHeaders, 'transfer-encoding');
 	if (lengths.length + encodings.length > 1) {
 		return false;
 	}
@@ -59,7 +59,7 @@
 	return lengths.length === 0 || /^\d+$/v.test(lengths[0]);
 }
 
-function hasSoundPath(path: string): boolean {
+function isNormalizedPath(path: string): boolean {
 	if (!path.startsWith('/') || !visibleAscii.test(path) || path.includes('\\') || path.includes('#')) {
 		return false;
 	}
@@ -73,25 +73,25 @@
 	return true;
 }
 
-/** Tells what is wrong with a request; `undefined` when it may go on. */
+/** Returns the fault of a request, or `undefined` if it may be forwarded. */
 export function findRequestFault(head: RequestHead): RequestFault | undefined {
 	if (!supportedMethods.has(head.method)) {
 		return 'method_not_supported';
 	}
 
-	if (values(head.rawHeaders, 'host').length !== 1) {
+	if (headerValues(head.rawHeaders, 'host').length !== 1) {
 		return 'malformed_host';
 	}
 
-	if (!hasSoundFraming(head)) {
+	if (!hasUnambiguousFraming(head)) {
 		return 'malformed_framing';
 	}
 
-	if (!hasSoundPath(head.path)) {
+	if (!isNormalizedPath(head.path)) {
 		return 'malformed_path';
 	}
 
-	if (values(head.rawHeaders, 'trailer').length > 0) {
+	if (headerValues(head.rawHeaders, 'trailer').length > 0) {
 		return 'trailers_not_supported';
 	}
 
--- a/packages/router/src/lib/orders/answer-checks.ts
+++ b/packages/router/src/lib/orders/response-checks.ts
@@ -1,6 +1,6 @@
-/** Whether an answer belongs to its request, and whether its end will be provable. */
+/** Checks that a response belongs to its request and that its end can be detected. */
 import {headerPairs} from './credential-headers.js';
-import {type AnswerHead} from './endpoint-transport.js';
+import {type ResponseHead} from './endpoint-transport.js';
 
 /** Header that carries a request's id to an endpoint and back. */
 export const requestIdHeader = 'x-request-id';
@@ -8,12 +8,12 @@
 const noContent = 204;
 const notModified = 304;
 
-/** Whether answers of this status have no body, whatever length they state. */
+/** Whether responses with this status have no body, whatever length they state. */
 export function isBodiless(status: number): boolean {
 	return status === noContent || status === notModified;
 }
 
-/** First value of a header; `undefined` when it is absent. */
+/** Returns the first value of a header, or `undefined` if it is absent. */
 export function headerValue(headers: readonly string[], wanted: string): string | undefined {
 	for (const {name, value} of headerPairs(headers)) {
 		if (name === wanted) {
@@ -24,12 +24,12 @@
 	return undefined;
 }
 
-/** How an answer's id stands to the request's. */
-export type AnswerIdentity = 'own' | 'foreign' | 'none';
+/** Whether a response carries the request's id, another id, or none. */
+export type ResponseIdentity = 'own' | 'foreign' | 'none';
 
-/** Compares the id that an answer carries with the request's. */
-export function identifyAnswer(head: AnswerHead, requestId: string): AnswerIdentity {
-	let identity: AnswerIdentity = 'none';
+/** Compares the id that a response carries with the request's. */
+export function identifyResponse(head: ResponseHead, requestId: string): ResponseIdentity {
+	let identity: ResponseIdentity = 'none';
 	for (const {name, value} of headerPairs(head.headers)) {
 		if (name !== requestIdHeader) {
 			continue;
@@ -46,11 +46,11 @@
 }
 
 /**
- * Whether a cut in an answer would be noticed: it has a length, or chunks with
- * an end, or no body at all. An answer that ends with its connection looks the
- * same when the endpoint died half way.
+ * Whether truncation of a response can be detected: it has a length, is chunked,
+ * or has no body. A response that ends when its connection closes looks the same
+ * if the endpoint crashed half-way.
  */
-export function hasProvableEnd(head: AnswerHead, method: string): boolean {
+export function isSelfDelimiting(head: ResponseHead, method: string): boolean {
 	if (method === 'HEAD' || isBodiless(head.status)) {
 		return true;
 	}
--- a/packages/router/src/lib/orders/route-idempotency.ts
+++ b/packages/router/src/lib/orders/route-idempotency.ts
@@ -24,9 +24,8 @@
 }
 
 /**
- * Classifies a call by the service's declared routes, of which the first that
- * matches decides. Undeclared: GET, HEAD and OPTIONS are idempotent, the rest
- * is not.
+ * Classifies a call by the first declared route of the service that matches.
+ * Without a match, GET, HEAD and OPTIONS are idempotent and other methods are not.
  *
  * @param path Path below the service; a query is ignored.
  */
--- a/packages/router/src/lib/orders/run-call.ts
+++ b/packages/router/src/lib/orders/run-call.ts
@@ -1,24 +1,24 @@
 /**
- * Takes one call from endpoint to endpoint until it is answered or given up.
- * What follows each failure is read from the tables of `failure-classes.ts`.
+ * Tries one call on successive endpoints until it is answered or fails for good.
+ * What follows each failure is defined by the tables in `failure-classes.ts`.
  */
 import {type Endpoint} from '../configuration/document.js';
-import {type AnswerSink} from './answer-sink.js';
+import {type AnswerSink} from './response-sink.js';
 import {type EndpointTransport, type OutgoingBody} from './endpoint-transport.js';
 import {type ExchangeLimits, type ExchangeResult, runExchange} from './exchange.js';
 import {
 	type CallKind, type FailureClass, failureClasses, nextSteps,
 } from './failure-classes.js';
 
-/** Bounds the load that retries add; shared by all calls of a process. */
+/** Limits the load that retries add; shared by all calls of a process. */
 export type RetryBudget = {
-	/** Takes the right to one retry; `false` when the budget is spent. */
+	/** Takes one retry from the budget; returns `false` when none is left. */
 	take: (service: string) => boolean;
-	/** A first attempt was made, which earns a share of a retry. */
+	/** Adds a fraction of a retry to the budget, once for each call. */
 	deposit: (service: string) => void;
 };
 
-/** One call, ready to leave. */
+/** One call that is ready to be sent. */
 export type ReadyCall = {
 	service: string;
 	requestId: string;
@@ -26,35 +26,35 @@
 	method: string;
 	path: string;
 	headers: readonly string[];
-	/** Opens the body for an attempt; `undefined` when it cannot be sent again. */
+	/** Opens the body for an attempt; returns `undefined` if it cannot be sent again. */
 	openBody: () => {body?: OutgoingBody} | undefined;
-	/** The next endpoint in order, other than the excluded. */
+	/** Picks the next endpoint in order of preference, other than the excluded ones. */
 	pick: (excluded: ReadonlySet<string>) => Endpoint | undefined;
-	/** `performance.now()` at which the answer must have begun. */
+	/** `performance.now()` by which the response must have begun. */
 	deadline: number;
-	mayLeave: () => boolean;
+	maySend: () => boolean;
 };
 
-/** What {@link runCall} works with. */
+/** Options of {@link runCall}. */
 export type RunCallOptions = {
 	transport: EndpointTransport;
 	retryBudget: RetryBudget;
 	limits: ExchangeLimits;
-	/** Attempts of one call at most, the first included. */
+	/** Maximum number of attempts per call, including the first. */
 	mostAttempts: number;
 	onDropped: (why: 'crossed' | 'late') => void;
-	/** A further attempt follows a failure. */
+	/** Called when another attempt may follow a failure. */
 	onRetry: (failure: FailureClass) => void;
-	/** An attempt failed and its endpoint is to blame. */
+	/** Called when an attempt failed because of its endpoint. */
 	onEndpointFailure?: (endpoint: Endpoint, failure: FailureClass) => void;
 };
 
-/** What became of a call. */
+/** Result of a call. */
 export type CallResult
 	= | {kind: 'answered'; endpoint: Endpoint; status: number}
-	/** No byte of the call left, to any endpoint. */
+	/** No byte of the call was sent to any endpoint. */
 		| {kind: 'not_run'; failure: FailureClass | 'no_endpoint'}
-	/** The call may have run. `begun`: the caller's connection was cut in the answer. */
+	/** The call may have run. `begun`: the caller's connection was cut within the response. */
 		| {kind: 'unknown'; endpoint: Endpoint; failure: FailureClass; begun: boolean};
 
 type Step = 'elsewhere' | 'retry' | 'unknown';
@@ -67,7 +67,7 @@
 	return nextSteps[failureClasses[result.failure].reach][kind];
 }
 
-/** Runs a call to its end. Never rejects; writes to the sink only an endpoint's answer. */
+/** Runs a call to its end. Never rejects; only an endpoint's response is written to the sink. */
 export async function runCall(call: ReadyCall, sink: AnswerSink, options: RunCallOptions): Promise<CallResult> {
 	const excluded = new Set<string>();
 	let last: CallResult = {kind: 'not_run', failure: 'no_endpoint'};
@@ -87,7 +87,7 @@
 				path: call.path,
 				headers: call.headers,
 				...opened,
-				// A retry after silence takes a new connection, since idle ones to any
+				// Retries use a new connection: after silence, idle connections to any
 				// endpoint may have been lost together.
 				ownConnection: call.kind === 'once' || attempt > 1,
 			},
@@ -96,7 +96,7 @@
 			sink,
 			limits: options.limits,
 			deadline: call.deadline,
-			mayLeave: call.mayLeave,
+			maySend: call.maySend,
 			onDropped: options.onDropped,
 		});
 		if (result.answered) {
@@ -120,7 +120,7 @@
 	return last;
 }
 
-/** "Not run" holds only as long as no attempt let a byte out. */
+/** The result is `not_run` only if no attempt may have sent a byte. */
 function resultAfter(before: CallResult, result: ExchangeResult & {answered: false}, endpoint: Endpoint): CallResult {
 	if (failureClasses[result.failure].reach === 'nothing') {
 		return before.kind === 'unknown' ? before : {kind: 'not_run', failure: result.failure};
--- a/packages/router/src/lib/orders/service-calls.ts
+++ b/packages/router/src/lib/orders/service-calls.ts
@@ -1,17 +1,18 @@
 /**
- * Calls to plain services: each leaves at most once unless it is idempotent,
- * its answer reaches its own caller whole or not at all, and "not run" is true.
+ * Calls to plain services. A call is sent at most once unless it is idempotent,
+ * a caller gets only the response to its own call and can tell when it is
+ * incomplete, and "not run" is reported only if the call did not run.
  */
 import {randomUUID} from 'node:crypto';
-import {headerValue, requestIdHeader} from './answer-checks.js';
-import {type AnswerSink} from './answer-sink.js';
+import {headerValue, requestIdHeader} from './response-checks.js';
+import {type AnswerSink} from './response-sink.js';
 import {createByteBudget} from './byte-budget.js';
 import {type ProblemCode, sendProblem} from './call-problems.js';
 import {forwardableHeaders, headerPairs, stripKeyFromUrl} from './credential-headers.js';
 import {createGroupCommit} from './group-commit.js';
 import {createEndpointSink, createIdentifiedSink} from './http-sink.js';
 import {createKeyedCalls} from './keyed-call.js';
-import {createOrderBook} from './order-book.js';
+import {createOrderStore} from './order-store.js';
 import {createRequestBody, type RequestBody} from './request-body.js';
 import {findRequestFault} from './request-checks.js';
 import {classifyRoute} from './route-idempotency.js';
@@ -24,20 +25,20 @@
 import {createUnkeyedCalls} from './unkeyed-call.js';
 import {createUnknownOrders, type UnknownOrders} from './unknown-orders.js';
 
-/** A caller's request, as its connection gave it. */
+/** A caller's request, as received. */
 export type IncomingRequest = {
 	method: string;
 	httpVersion: string;
 	rawHeaders: readonly string[];
-	/** The body's chunks; read only when an attempt takes them. */
+	/** The body's chunks; read only as an attempt consumes them. */
 	chunks: () => AsyncIterator<Uint8Array>;
 };
 
-/** Calls to plain services, apart from how callers reach them. */
+/** Handles calls to plain services, independent of the HTTP server. */
 export type ServiceCalls = UnknownOrders & {
-	/** Answers one call to its end. Rejects when the caller's body broke off. */
+	/** Answers one call. Rejects if reading the caller's request body fails. */
 	handle: (req: IncomingRequest, sink: AnswerSink, context: ServiceContext) => Promise<ServiceEvent>;
-	/** Refuses new calls, and resolves once every call and every record of it is done. */
+	/** Refuses new calls, and resolves once all calls have ended and their outcomes are recorded. */
 	drain: () => Promise<void>;
 };
 
@@ -68,7 +69,7 @@
 	});
 }
 
-function openerOf(body: RequestBody | undefined): ReadyCall['openBody'] {
+function bodyOpener(body: RequestBody | undefined): ReadyCall['openBody'] {
 	return () => {
 		if (body === undefined) {
 			return {};
@@ -78,7 +79,7 @@
 	};
 }
 
-/** The key of a call; `null` when it is malformed. */
+/** Returns the idempotency key of a call, or `null` if it is malformed. */
 function idempotencyKeyOf(req: IncomingRequest): string | undefined | null {
 	let found: string | undefined;
 	for (const {name, value} of headerPairs(req.rawHeaders)) {
@@ -96,7 +97,7 @@
 	return found;
 }
 
-/** Creates the handling of calls in one process. */
+/** Creates the handler of service calls of one process. */
 export function createServiceCalls(options: ServiceProxyOptions): ServiceCalls {
 	const limits: ServiceLimits = {...defaultServiceLimits, ...options.limits};
 	const newToken = options.newToken ?? randomUUID;
@@ -105,11 +106,11 @@
 		table: options.table,
 		...(options.onTransaction === undefined ? {} : {onTransaction: options.onTransaction}),
 	});
-	const book = createOrderBook({
+	const orderStore = createOrderStore({
 		table: options.table, groupCommit, keepMs: limits.keepMs, persistMs: limits.persistMs,
 	});
 	const lookUp = createStatusLookUp(transport, limits.lookUpMs);
-	const held = createByteBudget(limits.mostHeldBytes);
+	const keyedBodyBudget = createByteBudget(limits.mostHeldBytes);
 	const active = new Set<Promise<unknown>>();
 	let stopping = false;
 
@@ -124,10 +125,10 @@
 	});
 	const onUnrecorded = (service: string) => options.onEvent?.('unrecorded', service);
 	const keyed = createKeyedCalls({
-		book, run, lookUp, limits, newToken, onUnrecorded, isStopping: () => stopping,
+		orderStore, run, lookUp, limits, newToken, onUnrecorded, isStopping: () => stopping,
 	});
 	const unkeyed = createUnkeyedCalls({
-		book, run, lookUp, newToken, onUnrecorded,
+		orderStore, run, lookUp, newToken, onUnrecorded,
 	});
 
 	const refuse = (sink: AnswerSink, code: ProblemCode, context: ServiceContext): ServiceEvent => {
@@ -152,19 +153,19 @@
 		}, sink);
 	};
 
-	/** A body in chunks may turn out as long as the limit, so that much is set aside. */
+	/** Reserves memory for the body; a body of unknown length counts as large as the limit. */
 	const handleKeyed = async (incoming: IncomingCall, idempotencyKey: string): Promise<ServiceEvent> => {
 		const {body} = incoming;
 		const bytes = body === undefined ? 0 : Math.min(body.length ?? limits.mostKeyedBytes, limits.mostKeyedBytes);
-		const giveBack = held.take(bytes);
-		if (giveBack === undefined) {
+		const release = keyedBodyBudget.take(bytes);
+		if (release === undefined) {
 			return refuse(incoming.sink, 'busy', incoming.context);
 		}
 
 		try {
 			return await answerKeyed(incoming, idempotencyKey);
 		} finally {
-			giveBack();
+			release();
 		}
 	};
 
@@ -193,10 +194,10 @@
 				method,
 				path,
 				headers: endpointHeaders(req, context),
-				openBody: openerOf(body),
+				openBody: bodyOpener(body),
 				pick: context.pick,
 				deadline: context.deadline,
-				mayLeave: () => !sink.isGone() && performance.now() < context.deadline,
+				maySend: () => !sink.isGone() && performance.now() < context.deadline,
 			},
 		};
 		return kind === 'once' && idempotencyKey !== undefined
@@ -231,7 +232,7 @@
 				await Promise.allSettled(active);
 			}
 
-			await book.settled();
+			await orderStore.settled();
 			await transport.close();
 		},
 	};
--- a/packages/router/src/lib/orders/service-options.ts
+++ b/packages/router/src/lib/orders/service-options.ts
@@ -1,7 +1,7 @@
 /** Limits, context and options of calls to plain services. */
 import {type Endpoint, type PlainService} from '../configuration/document.js';
 import {type TableClient} from '../platform/platform.js';
-import {type AnswerSink} from './answer-sink.js';
+import {type AnswerSink} from './response-sink.js';
 import {type EndpointTransport} from './endpoint-transport.js';
 import {type ExchangeLimits} from './exchange.js';
 import {type KeyedLimits} from './keyed-call.js';
@@ -11,21 +11,21 @@
 
 /** Limits of a service proxy, all with defaults. */
 export type ServiceLimits = ExchangeLimits & KeyedLimits & {
-	/** Attempts of one call at most. */
+	/** Maximum number of attempts per call. */
 	mostAttempts: number;
 	/** Bytes of an idempotent call's body that are kept for a retry. */
 	replayBytes: number;
-	/** Longest body of a call with a key, in bytes. */
+	/** Longest request body of a call with a key, in bytes. */
 	mostKeyedBytes: number;
-	/** Bytes of such bodies that are held at once; calls beyond it are refused as not run. */
+	/** Total bytes of such bodies in memory; calls beyond it are refused as not run. */
 	mostHeldBytes: number;
-	/** Milliseconds that a status look-up may take. */
+	/** Timeout of a status look-up in milliseconds. */
 	lookUpMs: number;
 	/** Milliseconds that an order with an outcome is kept. */
 	keepMs: number;
-	/** Milliseconds during which an outcome that could not be written is tried again. */
+	/** Milliseconds during which a failed write of an outcome is retried. */
 	persistMs: number;
-	/** Milliseconds after the end of a call before it may be settled as never run. */
+	/** Milliseconds after the writer gave a call up before it may be settled as never run. */
 	settleAfterMs: number;
 };
 
@@ -49,50 +49,50 @@
 	settleAfterMs: 900_000,
 };
 
-/** What happened, for metrics. */
+/** Events of calls, for metrics. */
 export type ServiceEvent
 	= | 'answered' | 'replayed' | 'not_run' | 'unknown' | 'in_progress' | 'refused' | 'store_unavailable' | 'no_answer'
 		| 'retried' | 'crossed' | 'late' | 'unrecorded';
 
-/** What the gateway knows of a call. */
+/** The gateway's data about a call. */
 export type ServiceContext = {
 	/** Workspace that the caller's key belongs to, already authenticated. */
 	workspace: string;
 	service: PlainService;
 	/** Unique id of the request; endpoints get it as `x-request-id`. */
 	requestId: string;
-	/** The key as the caller presented it; it is taken out wherever it stands. */
+	/** API key as the caller presented it; it is removed from the request wherever it occurs. */
 	presentedKey: string;
 	/** Path and query below the service, as sent. */
 	path: string;
-	/** The next endpoint in order, other than the excluded; `undefined` when none is left. */
+	/** Picks the next endpoint in order of preference, other than the excluded ones; `undefined` if none is left. */
 	pick: (excluded: ReadonlySet<string>) => Endpoint | undefined;
-	/** `performance.now()` at which the answer must have begun. */
+	/** `performance.now()` by which the response must have begun. */
 	deadline: number;
 };
 
 /** Options of {@link createServiceProxy}. */
 export type ServiceProxyOptions = {
-	/** Keeps the record of orders. */
+	/** Table that stores the orders. */
 	table: TableClient;
-	/** Bounds retries of idempotent calls. */
+	/** Limits retries of idempotent calls. */
 	retryBudget: RetryBudget;
 	/** Finds a service and its endpoints, for status look-ups. */
 	directory: ServiceDirectory;
-	/** Reaches endpoints; HTTP/1.1 by default. */
+	/** Transport to the endpoints; HTTP/1.1 by default. */
 	transport?: EndpointTransport;
 	limits?: Partial<ServiceLimits>;
-	/** A new random token; a random UUID by default. */
+	/** Creates a random token; a random UUID by default. */
 	newToken?: () => string;
-	/** Told of what happened to calls. */
+	/** Called for each event of a call. */
 	onEvent?: (event: ServiceEvent, service: string) => void;
-	/** Told of each failed exchange that an endpoint is to blame for. */
+	/** Called for each failed exchange that counts against its endpoint. */
 	onEndpointFailure?: (endpoint: Endpoint, failure: string) => void;
-	/** Told of each transaction of the record, with the number of its writes. */
+	/** Called for each transaction of the order store, with its number of writes. */
 	onTransaction?: (writes: number) => void;
 };
 
-/** One call with all that handling it needs. */
+/** One call with all data needed to handle it. */
 export type IncomingCall = {
 	context: ServiceContext;
 	call: ReadyCall;
--- a/packages/router/src/lib/orders/service-proxy.ts
+++ b/packages/router/src/lib/orders/service-proxy.ts
@@ -5,14 +5,14 @@
 import {type ServiceContext, type ServiceEvent, type ServiceProxyOptions} from './service-options.js';
 import {type UnknownOrders} from './unknown-orders.js';
 
-/** Takes calls to plain services. */
+/** Handles calls to plain services over HTTP. */
 export type ServiceProxy = UnknownOrders & {
 	/**
-	 * Answers one call to its end. The body of the request must not have been
-	 * read, and nothing written to the response but headers set on it.
+	 * Answers one call. The request body must not have been read, and nothing may
+	 * have been written to the response; headers may be set on it.
 	 */
 	handle: (req: IncomingMessage, res: ServerResponse, context: ServiceContext) => Promise<ServiceEvent>;
-	/** Refuses new calls, and resolves once every call and every record of it is done. */
+	/** Refuses new calls, and resolves once all calls have ended and their outcomes are recorded. */
 	drain: () => Promise<void>;
 };
 
@@ -42,8 +42,8 @@
 			try {
 				return await calls.handle(incoming, sink, context);
 			} catch (error) {
-				// The caller's own body broke off, or this program is at fault: nobody may
-				// take what was written so far for a whole answer.
+				// Reading the caller's request body failed, or there is a bug here. What was
+				// written so far must not pass as a complete response.
 				const isCallersFault = sink.isGone() || req.destroyed;
 				sink.cut();
 				if (isCallersFault) {
--- a/packages/router/src/lib/orders/status-look-up.ts
+++ b/packages/router/src/lib/orders/status-look-up.ts
@@ -1,24 +1,25 @@
-/** Asks an endpoint what became of a request whose answer was lost. */
+/** Looks up the outcome of a request whose response was lost at an endpoint. */
 import {Buffer} from 'node:buffer';
 import {z} from 'zod';
 import {type Endpoint, type PlainService} from '../configuration/document.js';
-import {type AnswerSink} from './answer-sink.js';
+import {type AnswerSink} from './response-sink.js';
 import {type EndpointTransport} from './endpoint-transport.js';
 import {runExchange} from './exchange.js';
 
-/** What an endpoint answers: whether the request ran, and the status it gave. */
+/** The endpoint's response: whether the request ran, and with which status. */
 const statusSchema = z.object({ran: z.boolean(), status: z.number().int().optional()});
 
 /** A request that is known to have run. */
 export type KnownRun = {status: number | null};
 
 /**
- * Asks one endpoint. `undefined` when it does not say that the request ran. An
- * endpoint's "did not run" proves nothing: the request may still be on its way.
+ * Asks one endpoint. Resolves to `undefined` unless the endpoint reports that the
+ * request ran. A report that it did not run proves nothing, since the request may
+ * still be in transit.
  */
 export type StatusLookUp = (service: PlainService, endpoint: Endpoint, requestId: string) => Promise<KnownRun | undefined>;
 
-const mostBytes = 16_384;
+const maxResponseBytes = 16_384;
 const statusOk = 200;
 
 function createCollectingSink(): AnswerSink & {text: () => string} {
@@ -26,28 +27,28 @@
 	let bytes = 0;
 	return {
 		start() {
-			// The status comes with the result.
+			// The result of the exchange has the status.
 		},
 		write(chunk) {
 			bytes += chunk.byteLength;
-			if (bytes <= mostBytes) {
+			if (bytes <= maxResponseBytes) {
 				chunks.push(chunk);
 			}
 
 			return true;
 		},
 		end() {
-			// The end comes with the result.
+			// The result of the exchange reports the end.
 		},
 		cut() {
 			chunks.length = 0;
 		},
 		isGone: () => false,
 		onDrain() {
-			// Never full.
+			// This sink never applies backpressure.
 		},
 		onGone() {
-			// Never gone.
+			// A look-up has no caller that could disconnect.
 		},
 		text: () => Buffer.concat(chunks).toString('utf8'),
 	};
@@ -62,7 +63,7 @@
 	}
 }
 
-/** Creates a look-up that waits at most `waitMs` milliseconds. */
+/** Creates a look-up with a timeout of `waitMs` milliseconds. */
 export function createStatusLookUp(transport: EndpointTransport, waitMs: number): StatusLookUp {
 	return async (service, endpoint, requestId) => {
 		if (service.statusPath === undefined) {
@@ -78,7 +79,7 @@
 				method: 'GET',
 				path: service.statusPath.replaceAll('{id}', encodeURIComponent(requestId)),
 				headers: ['accept', 'application/json', 'x-request-id', lookUpId],
-				// What lost the answer may have lost the idle connections too.
+				// The fault that lost the response may have broken idle connections too.
 				ownConnection: true,
 			},
 			requestId: lookUpId,
@@ -88,7 +89,7 @@
 				connectMs: waitMs, firstByteMs: waitMs, betweenBytesMs: waitMs, callerStallMs: waitMs,
 			},
 			deadline: performance.now() + waitMs,
-			mayLeave: () => true,
+			maySend: () => true,
 		});
 		return result.answered && result.status === statusOk ? parseStatus(sink.text()) : undefined;
 	};
--- a/packages/router/src/lib/orders/undici-transport.ts
+++ b/packages/router/src/lib/orders/undici-transport.ts
@@ -7,26 +7,26 @@
 import {
 	type EndpointAddress, type EndpointTransport, type Exchange, type ExchangeEvents, type OutgoingRequest,
 } from './endpoint-transport.js';
-import {isBodiless} from './answer-checks.js';
+import {isBodiless} from './response-checks.js';
 import {type FailureClass} from './failure-classes.js';
 import {EndpointExchangeError} from './orders-errors.js';
 
 /** Options of {@link createUndiciTransport}. */
 export type UndiciTransportOptions = {
-	/** Milliseconds for a connection to come about; 1,000 by default. */
+	/** Connection timeout in milliseconds; 1,000 by default. */
 	connectMs?: number;
-	/** Endpoints to which idle connections are kept; 256 by default. */
-	mostPools?: number;
-	/** Connections to one endpoint that are reused; 32 by default. */
+	/** Maximum number of endpoints with a connection pool; 256 by default. */
+	maxPools?: number;
+	/** Maximum number of reused connections to one endpoint; 32 by default. */
 	connectionsPerPool?: number;
 };
 
 const defaultConnectMs = 1000;
-const defaultMostPools = 256;
+const defaultMaxPools = 256;
 const defaultConnectionsPerPool = 32;
 const firstFinalStatus = 200;
 
-function textsOf(raw: unknown): string[] {
+function toStrings(raw: unknown): string[] {
 	const texts: string[] = [];
 	for (const item of Array.isArray(raw) ? raw : []) {
 		texts.push(Buffer.isBuffer(item) ? item.toString('latin1') : String(item));
@@ -35,15 +35,15 @@
 	return texts;
 }
 
-/** Chunks of the caller's body, with word of each one, and of a body that breaks off. */
-async function * watchedBody(chunks: AsyncIterable<Uint8Array>, state: ExchangeState, progress: () => void): AsyncGenerator<Uint8Array> {
+/** Yields the caller's body, reports progress for each chunk, and marks a body that fails. */
+async function * trackedBody(chunks: AsyncIterable<Uint8Array>, state: ExchangeState, progress: () => void): AsyncGenerator<Uint8Array> {
 	try {
 		for await (const chunk of chunks) {
 			progress();
 			yield chunk;
 		}
 	} catch (error) {
-		state.callerBroke = true;
+		state.callerBodyFailed = true;
 		throw error;
 	}
 }
@@ -53,8 +53,8 @@
 		return body === undefined ? null : Buffer.from(body.content);
 	}
 
-	const chunks: unknown = watchedBody(body.open(), state, events.progress);
-	// Undici sends any async iterable; its types tell only of streams.
+	const chunks: unknown = trackedBody(body.open(), state, events.progress);
+	// Undici accepts any async iterable; its types only declare streams.
 
 	return chunks as Readable;
 }
@@ -71,7 +71,7 @@
 		path: `${pathname.replace(/\/$/v, '')}${request.path}`,
 		method: request.method,
 		headers,
-		// The limits on silence are the caller's own timers.
+		// The exchange has its own timers.
 		headersTimeout: 0,
 		bodyTimeout: 0,
 		reset: !state.shared,
@@ -79,70 +79,70 @@
 	};
 }
 
-/** The exchange whose request is being written: undici tells its connection in the same tick. */
-let starting: ExchangeState | undefined;
+/** The exchange whose request is being written; undici publishes its socket in the same tick. */
+let exchangeAwaitingSocket: ExchangeState | undefined;
 
 diagnosticsChannel.subscribe('undici:client:sendHeaders', message => {
-	if (starting !== undefined) {
-		starting.socket = (message as {socket: ExchangeState['socket']}).socket;
-		starting = undefined;
+	if (exchangeAwaitingSocket !== undefined) {
+		exchangeAwaitingSocket.socket = (message as {socket: ExchangeState['socket']}).socket;
+		exchangeAwaitingSocket = undefined;
 	}
 });
 
 function controllerHasLength({rawHeaders}: Dispatcher.DispatchController): boolean {
-	return textsOf(rawHeaders).some((text, index) => index % 2 === 0 && text.toLowerCase() === 'content-length');
+	return toStrings(rawHeaders).some((text, index) => index % 2 === 0 && text.toLowerCase() === 'content-length');
 }
 
 /** @internal */
 export type ExchangeState = {
-	/** The connection carries other requests before or after. */
+	/** The connection carries other requests before or after this one. */
 	shared: boolean;
 	/** The request was handed to a connected socket. */
-	left: boolean;
+	sent: boolean;
 	cancelled: boolean;
 	ended: boolean;
-	/** The caller's own body broke off. */
-	callerBroke: boolean;
-	/** Status of the answer, once its head came. */
+	/** Reading the caller's request body failed. */
+	callerBodyFailed: boolean;
+	/** Status of the response, once its head was received. */
 	status?: number;
-	/** The answer states its length, so that its end is known for sure. */
+	/** The response has a `Content-Length`, so truncation is detected. */
 	hasLength?: boolean;
-	/** The connection that carries it. */
+	/** The connection that carries the exchange. */
 	socket?: {readonly errored?: Error | null};
 	controller?: Dispatcher.DispatchController;
 };
 
 /**
- * Turns what undici tells of a request into the events of an exchange.
+ * Creates a handler that turns undici's callbacks into the events of an exchange.
  *
  * @internal
  */
 export function createHandler(state: ExchangeState, events: ExchangeEvents, finish: () => void): Dispatcher.DispatchHandler {
 	return {
 		onRequestStart(controller) {
-			// Undici writes a request a second time when its connection closes in some
-			// ways while it runs. The endpoint would then run an order twice; refusing
-			// the second start leaves one write at most.
-			if (state.left) {
-				controller.abort(new EndpointExchangeError('The connection closed while the request ran. It is not sent again.'));
+			// Undici may write a request a second time if its connection closes while
+			// it runs, and the endpoint would run an order twice. Refusing the second
+			// start limits it to one write.
+			if (state.sent) {
+				controller.abort(new EndpointExchangeError('The connection closed while the request was in progress. It is not sent again.'));
 				return;
 			}
 
 			if (state.cancelled || !events.leaving(state.shared)) {
 				state.cancelled = true;
-				controller.abort(new EndpointExchangeError('The request was withdrawn before its first byte.'));
+				controller.abort(new EndpointExchangeError('The request was withdrawn before its first byte was sent.'));
 				return;
 			}
 
-			state.left = true;
+			state.sent = true;
 			state.controller = controller;
-			starting = state;
+			exchangeAwaitingSocket = state;
 		},
 		onResponseStart(controller, status) {
 			if (status >= firstFinalStatus) {
 				state.status = status;
 				state.hasLength = controllerHasLength(controller);
-				events.head({status, headers: textsOf(controller.rawHeaders)});
+				events.head({status, headers: toStrings(controller.rawHeaders)});
 			}
 		},
 		onResponseData(_controller, chunk) {
@@ -150,15 +150,15 @@
 		},
 		onResponseEnd(controller) {
 			state.ended = true;
-			// An answer without length ends with its connection. Undici takes a reset
-			// for such an end, and the caller would get half an answer as a whole one.
+			// A response without a length ends when its connection closes. Undici treats
+			// a reset as such an end, so a truncated response would pass as complete.
 			if (state.hasLength !== true && state.socket?.errored) {
 				events.failed('truncated', state.socket.errored);
 				finish();
 				return;
 			}
 
-			events.end(textsOf(controller.rawTrailers));
+			events.end(toStrings(controller.rawTrailers));
 			finish();
 		},
 		onResponseError(_controller, error) {
@@ -180,15 +180,15 @@
 	return 'code' in error && error.code === code;
 }
 
-/** Undici looks for the stated length even where the status says that no body follows. */
+/** Undici checks the stated length even for statuses that have no body. */
 function isWholeWithoutBody(state: ExchangeState, error: Error): boolean {
 	return state.status !== undefined && isBodiless(state.status) && hasCode(error, 'UND_ERR_RES_CONTENT_LENGTH_MISMATCH');
 }
 
 function failureOf(state: ExchangeState, error: Error): FailureClass {
-	// A caller that breaks off its own body must not make the endpoint look bad.
-	if (state.left) {
-		return state.callerBroke ? 'cancelled' : 'reset';
+	// A caller whose body fails must not count as a failure of the endpoint.
+	if (state.sent) {
+		return state.callerBodyFailed ? 'cancelled' : 'reset';
 	}
 
 	if (state.cancelled) {
@@ -199,11 +199,11 @@
 }
 
 /**
- * Creates a transport on undici.
+ * Creates a transport based on undici.
  *
- * A connection is reused only toward endpoints whose answers carry the request
- * id (see `trustIds`): on any other, the late answer to an abandoned request
- * could be taken for the answer to the next one.
+ * Connections are reused only for endpoints whose responses carry the request
+ * id (see `allowConnectionReuse`). For other endpoints, the late response to an
+ * abandoned request could be taken for the response to the next one.
  *
  * @example
  * const transport = createUndiciTransport({connectMs: 500});
@@ -218,21 +218,21 @@
 	};
 
 	const pools = new LRUCache<string, Pool>({
-		max: options.mostPools ?? defaultMostPools,
+		max: options.maxPools ?? defaultMaxPools,
 		dispose(pool) {
 			void trackClosing(pool.close());
 		},
 	});
-	const own = new Set<Client>();
+	const dedicatedClients = new Set<Client>();
 
 	const openClient = (origin: string) => {
 		const client = new Client(origin, {connect, pipelining: 1});
-		own.add(client);
+		dedicatedClients.add(client);
 		return client;
 	};
 
 	const closeClient = (client: Client) => {
-		own.delete(client);
+		dedicatedClients.delete(client);
 		void client.destroy();
 	};
 
@@ -240,7 +240,7 @@
 		const {origin} = new URL(request.endpoint.address);
 		const pool = request.ownConnection ? undefined : pools.get(origin);
 		const state: ExchangeState = {
-			shared: pool !== undefined, left: false, cancelled: false, ended: false, callerBroke: false,
+			shared: pool !== undefined, sent: false, cancelled: false, ended: false, callerBodyFailed: false,
 		};
 		const client = pool === undefined ? openClient(origin) : undefined;
 		const finish = () => {
@@ -282,7 +282,7 @@
 		async close() {
 			pools.clear();
 			await Promise.all(closing);
-			for (const client of own) {
+			for (const client of dedicatedClients) {
 				closeClient(client);
 			}
 		},
--- a/packages/router/src/lib/orders/unkeyed-call.ts
+++ b/packages/router/src/lib/orders/unkeyed-call.ts
@@ -1,28 +1,28 @@
-/** Calls without a key: answered, truly "not run", or listed as unknown. */
+/** Calls without a key: answered, reported as not run, or listed as unknown. */
 import {type Endpoint, type PlainService} from '../configuration/document.js';
-import {type AnswerSink} from './answer-sink.js';
+import {type AnswerSink} from './response-sink.js';
 import {sendProblem} from './call-problems.js';
-import {type OrderBook, type OrderEnd} from './order-book.js';
-import {mostPathCharacters, unkeyedOrderKey} from './order-rows.js';
+import {type OrderStore, type OrderOutcome} from './order-store.js';
+import {maxPathCharacters, unkeyedOrderKey} from './order-rows.js';
 import {type CallResult, type ReadyCall} from './run-call.js';
 import {type IncomingCall, type ServiceEvent} from './service-options.js';
 import {type KnownRun} from './status-look-up.js';
 
-/** What {@link createUnkeyedCalls} works with. */
+/** Options of {@link createUnkeyedCalls}. */
 export type UnkeyedCallsOptions = {
-	book: OrderBook;
+	orderStore: OrderStore;
 	run: (call: ReadyCall, sink: AnswerSink) => Promise<CallResult>;
 	lookUp: (service: PlainService, endpoint: Endpoint, requestId: string) => Promise<KnownRun | undefined>;
 	newToken: () => string;
-	/** An unknown outcome could not be listed. */
+	/** Called when an outcome could not be recorded. */
 	onUnrecorded: (service: string) => void;
 };
 
-/** Creates the handling of calls without a key. */
+/** Creates the handler of calls without a key. */
 export function createUnkeyedCalls(options: UnkeyedCallsOptions) {
-	const record = async ({context, call}: IncomingCall, end: OrderEnd) => {
+	const record = async ({context, call}: IncomingCall, end: OrderOutcome) => {
 		const now = Date.now();
-		const isRecorded = await options.book.record(unkeyedOrderKey(context.workspace, call.service, call.requestId), {
+		const isRecorded = await options.orderStore.record(unkeyedOrderKey(context.workspace, call.service, call.requestId), {
 			state: 'pending',
 			token: options.newToken(),
 			digest: '',
@@ -30,7 +30,7 @@
 			workspace: context.workspace,
 			service: call.service,
 			method: call.method,
-			path: call.path.slice(0, mostPathCharacters),
+			path: call.path.slice(0, maxPathCharacters),
 			createdMs: now,
 			giveUpMs: now,
 		}, end);
@@ -45,7 +45,7 @@
 		if (known === undefined) {
 			void record(incoming, {state: 'unknown', endpoint: result.endpoint.name, reason: result.failure});
 		} else if (result.begun) {
-			// The caller saw its connection break, and nobody told it that the order ran.
+			// The caller's connection broke within the response, so it does not know that the order ran.
 			void record(incoming, {
 				state: 'answered', status: known.status, headers: [], body: null, trailers: [], by: 'status look-up',
 			});
--- a/packages/router/src/lib/orders/unknown-orders.ts
+++ b/packages/router/src/lib/orders/unknown-orders.ts
@@ -1,60 +1,60 @@
-/** Orders whose outcome is unknown: listed, asked after, settled, and in the end deleted. */
+/** Lists, looks up and settles orders whose outcome is unknown, and deletes expired orders. */
 import {type Endpoint, type PlainService} from '../configuration/document.js';
 import {type TableClient, type TableRow} from '../platform/platform.js';
 import {type GroupCommit} from './group-commit.js';
-import {endedRow, type FoundOrder, type OrderEnd} from './order-book.js';
+import {rowWithOutcome, type FoundOrder, type OrderOutcome} from './order-store.js';
 import {
 	closingWrites, expiryPrefix, indexedOrder, indexTime, openPrefix, parseOrder,
 } from './order-rows.js';
 import {OrderNotUnknownError, OrderStoreError, OrderTooRecentError} from './orders-errors.js';
 import {type StatusLookUp} from './status-look-up.js';
 
-/** Finds a plain service and its endpoints; `undefined` when there is none of this name. */
+/** Finds a plain service and its endpoints by name; returns `undefined` if there is none. */
 export type ServiceDirectory = (service: string) => {service: PlainService; endpoints: readonly Endpoint[]} | undefined;
 
-/** An order that left for an endpoint, or may have, and has no known outcome. */
+/** An order that was or may have been sent to an endpoint and has no known outcome. */
 export type UnknownOrder = {
-	/** Names the order to {@link UnknownOrders.settleUnknownOrder}. */
+	/** Id for {@link UnknownOrders.settleUnknownOrder}. */
 	id: string;
 	workspace: string;
 	service: string;
-	/** Id under which the request went to the endpoint. */
+	/** Request id that was sent to the endpoint. */
 	requestId: string;
 	method: string;
 	path: string;
-	/** Wall clock, in milliseconds. */
+	/** Wall-clock time in milliseconds. */
 	createdMs: number;
-	/** Endpoint that it went to; empty when its dispatcher was lost. */
+	/** Endpoint to which it was sent; empty if its dispatcher was lost. */
 	endpoint: string;
 	/** Why the outcome is unknown. */
 	reason: string;
 };
 
-/** What an operator found out about an order. */
+/** Outcome of an order that an operator established. */
 export type Settlement = 'ran' | 'not_run';
 
-/** The operator's side of the record of orders. */
+/** The operations on orders that operators use. */
 export type UnknownOrders = {
 	/**
-	 * Orders without a known outcome, oldest first. Endpoints that offer a status
-	 * look-up are asked before, and what they know to have run is settled.
+	 * Lists orders without a known outcome, oldest first. Endpoints that offer a
+	 * status look-up are asked first; orders that they report as run are settled.
 	 *
 	 * @throws {OrderStoreError}
 	 */
 	listUnknownOrders: () => Promise<UnknownOrder[]>;
 	/**
-	 * Records what an operator found out.
+	 * Records the outcome that an operator established.
 	 *
 	 * @throws {OrderNotUnknownError} The order has an outcome, or is in progress.
-	 * @throws {OrderTooRecentError} It may still be on its way: too early for `not_run`.
+	 * @throws {OrderTooRecentError} It may still be in transit: too early for `not_run`.
 	 * @throws {OrderStoreError}
 	 */
 	settleUnknownOrder: (id: string, outcome: Settlement, who: string) => Promise<void>;
-	/** Deletes orders whose time is up; resolves to their number. To be called now and then. */
+	/** Deletes expired orders and resolves to their number. To be called periodically. */
 	sweepExpiredOrders: () => Promise<number>;
 };
 
-/** What {@link createUnknownOrders} works with. */
+/** Options of {@link createUnknownOrders}. */
 export type UnknownOrdersOptions = {
 	table: TableClient;
 	groupCommit: GroupCommit;
@@ -64,11 +64,11 @@
 	limits: {clockMarginMs: number; settleAfterMs: number; keepMs: number};
 };
 
-const pageRows = 500;
-/** Deletions that fit one transaction of 25 writes. */
-const sweepBatch = 12;
+const pageSize = 500;
+/** A transaction takes 25 writes, and a deletion needs two. */
+const sweepBatchSize = 12;
 
-/** Creates the operator's side of the record of orders. */
+/** Creates the operations on orders that operators use. */
 export function createUnknownOrders(options: UnknownOrdersOptions): UnknownOrders {
 	const {limits} = options;
 
@@ -88,12 +88,12 @@
 	const isUnknown = ({row}: FoundOrder) => row.state === 'unknown'
 		|| (row.state === 'pending' && Date.now() > row.giveUpMs + limits.clockMarginMs);
 
-	const settle = async (id: string, found: FoundOrder, end: OrderEnd): Promise<boolean> => {
-		const row = endedRow(found.row, end);
+	const settle = async (id: string, found: FoundOrder, end: OrderOutcome): Promise<boolean> => {
+		const row = rowWithOutcome(found.row, end);
 		const result = await options.groupCommit.commit({
 			writes: closingWrites(id, row, found.version, Date.now() + limits.keepMs),
-			proofKey: id,
-			isProof(shown) {
+			readBackKey: id,
+			isApplied(shown) {
 				const now = parseOrder(shown.value);
 				return now.token === row.token && now.state === row.state;
 			},
@@ -101,7 +101,7 @@
 		return result.committed;
 	};
 
-	/** Asks endpoints that may know; `true` when one settled the order. */
+	/** Looks the order up at the service's endpoints; resolves to `true` if that settled it. */
 	const askEndpoints = async (id: string, found: FoundOrder): Promise<boolean> => {
 		const entry = options.directory(found.row.service);
 		for (const endpoint of entry?.endpoints ?? []) {
@@ -116,13 +116,13 @@
 		return false;
 	};
 
-	const pages = async function * (prefix: string): AsyncGenerator<TableRow> {
+	const listRows = async function * (prefix: string): AsyncGenerator<TableRow> {
 		let after: string | undefined;
 		for (;;) {
-			const range = {prefix, limit: pageRows, ...(after === undefined ? {} : {after})};
+			const range = {prefix, limit: pageSize, ...(after === undefined ? {} : {after})};
 			const rows = await read(async () => options.table.list(range));
 			yield * rows;
-			if (rows.length < pageRows) {
+			if (rows.length < pageSize) {
 				return;
 			}
 
@@ -134,23 +134,23 @@
 		const id = indexedOrder(index.value);
 		const found = await find(id);
 		const token = index.key.split('/').at(-1);
-		// A released key may have a newer order by now, which stays.
-		const due = found?.row.token === token ? found : undefined;
+		// A released key may have a newer order by now, which must stay.
+		const expired = found?.row.token === token ? found : undefined;
 		const result = await options.groupCommit.commit({
 			writes: [
 				{key: index.key, value: null},
-				...(due === undefined ? [] : [{key: id, value: null, ifVersion: due.version}]),
+				...(expired === undefined ? [] : [{key: id, value: null, ifVersion: expired.version}]),
 			],
-			proofKey: index.key,
-			isProof: () => false,
+			readBackKey: index.key,
+			isApplied: () => false,
 		});
-		return due !== undefined && result.committed;
+		return expired !== undefined && result.committed;
 	};
 
 	return {
 		async listUnknownOrders() {
 			const unknown: UnknownOrder[] = [];
-			for await (const index of pages(openPrefix)) {
+			for await (const index of listRows(openPrefix)) {
 				const id = indexedOrder(index.value);
 				const found = await find(id);
 				if (found === undefined || !isUnknown(found) || await askEndpoints(id, found)) {
@@ -179,14 +179,15 @@
 				throw new OrderNotUnknownError(`Order ${id} is not one whose outcome is unknown. List the unknown orders again.`);
 			}
 
-			// A dispatcher that wakes from a pause must find its time to dispatch long
-			// over, and its idle connection closed, before the order counts as never run.
+			// By the time an order is settled as never run, a dispatcher that resumes
+			// from a pause must find its time to dispatch long over and its idle
+			// connections closed.
 			const settleableAtMs = found.row.giveUpMs + limits.settleAfterMs;
 			if (outcome === 'not_run' && Date.now() < settleableAtMs) {
 				throw new OrderTooRecentError(`Order ${id} may still be on its way. Settle it as never run from ${new Date(settleableAtMs).toISOString()} on.`, settleableAtMs);
 			}
 
-			const end: OrderEnd = outcome === 'not_run'
+			const end: OrderOutcome = outcome === 'not_run'
 				? {state: 'released', by: who}
 				: {
 					state: 'answered', status: null, headers: [], body: null, trailers: [], by: who,
@@ -204,13 +205,13 @@
 				batch = [];
 			};
 
-			for await (const index of pages(expiryPrefix)) {
+			for await (const index of listRows(expiryPrefix)) {
 				if (indexTime(index.key) > Date.now()) {
 					break;
 				}
 
 				batch.push(index);
-				if (batch.length === sweepBatch) {
+				if (batch.length === sweepBatchSize) {
 					await deleteBatch();
 				}
 			}
--- a/packages/router/src/orders.ts
+++ b/packages/router/src/orders.ts
@@ -1,5 +1,5 @@
-/** Calls to plain services: at most once, whole, and to their own caller. */
-export * from './lib/orders/answer-sink.js';
+/** Calls to plain services, sent at most once unless they are idempotent. */
+export * from './lib/orders/response-sink.js';
 export * from './lib/orders/call-problems.js';
 export * from './lib/orders/credential-headers.js';
 export type * from './lib/orders/endpoint-transport.js';
--- a/packages/router/src/test/orders/credential-headers.test.ts
+++ b/packages/router/src/test/orders/credential-headers.test.ts
@@ -5,14 +5,14 @@
 const key = 'hw-secret-0123456789';
 
 describe('forwardableHeaders', () => {
-	it('passes on what is for the endpoint, as it came', () => {
+	it('passes on other headers unchanged', () => {
 		const headers = ['Accept', 'text/plain', 'X-Order', 'ribbon', 'Cookie', 'house=red; theme=dark'];
 		assert.deepEqual(forwardableHeaders(headers, key), headers);
 	});
 
-	it('leaves out every header that a credential may stand in', () => {
-		// The endpoint sees the caller's key when one of the places it can be sent
-		// in is forgotten; a key in an unexpected header is found by its content.
+	it('removes every header that may carry a credential', () => {
+		// The endpoint would see the caller's key if one of the places where it can be
+		// sent were missed; a key in an unexpected header is found by its content.
 		const headers = [
 			'Authorization',
 			`Bearer ${key}`,
@@ -36,7 +36,7 @@
 		assert.deepEqual(forwardableHeaders(headers, key), ['Cookie', 'house=red']);
 	});
 
-	it('leaves out headers of the connection, also those that Connection names', () => {
+	it('removes hop-by-hop headers, including those that Connection names', () => {
 		const headers = [
 			'Connection',
 			'close, X-Hop',
@@ -78,12 +78,12 @@
 		[`/a?other=${key.replace('0', '%30')}&b=1`, '/a?b=1'],
 	];
 	for (const [url, expected] of rows) {
-		it(`makes ${expected} of ${url}`, () => {
+		it(`returns ${expected} for ${url}`, () => {
 			assert.equal(stripKeyFromUrl(url, key), expected);
 		});
 	}
 
-	it('never passes the key on, wherever it stands in the query', () => {
+	it('never passes the key on, wherever it occurs in the query', () => {
 		const parts = fc.array(fc.constantFrom(key, `api_key=${key}`, 'b=1', `x=${encodeURIComponent(key)}`, `${key}=1`, ''), {maxLength: 6});
 		fc.assert(fc.property(parts, fc.constantFrom('&', ';'), (all, separator) => {
 			assert.notInclude(decodeURIComponent(stripKeyFromUrl(`/a?${all.join(separator)}`, key)), key);
--- a/packages/router/src/test/orders/group-commit.test.ts
+++ b/packages/router/src/test/orders/group-commit.test.ts
@@ -6,7 +6,7 @@
 } from '../../platform.js';
 import {OrderNotWrittenError, OrderStoreError} from '../../orders.js';
 
-/** A table that keeps rows, and loses the answers that a test tells it to. */
+/** Creates a table in memory; `lose` decides for which transactions the response is lost. */
 function createTable(lose: (writes: TableWrite[]) => 'none' | 'applied' | 'dropped' = () => 'none') {
 	const rows = new Map<string, TableRow>();
 	const transactions: TableWrite[][] = [];
@@ -38,7 +38,7 @@
 
 async function hang(): Promise<never> {
 	return new Promise(() => {
-		// No answer ever comes.
+		// Never settles.
 	});
 }
 
@@ -51,20 +51,20 @@
 }
 
 function groupOf(key: string, value = 'mine'): WriteGroup {
-	return {writes: [{key, value, ifVersion: 0}, {key: `index-${key}`, value: ''}], proofKey: key, isProof: row => row.value === value};
+	return {writes: [{key, value, ifVersion: 0}, {key: `index-${key}`, value: ''}], readBackKey: key, isApplied: row => row.value === value};
 }
 
 describe('createGroupCommit', () => {
-	it('puts groups of one moment into few transactions', async () => {
+	it('combines groups of the same event loop turn into few transactions', async () => {
 		const {table, transactions} = createTable();
 		const {commit} = createGroupCommit({table});
 		await Promise.all(Array.from({length: 24}, async (_, index) => commit(groupOf(`k-${index}`))));
 		assert.deepEqual(transactions.map(writes => writes.length), [24, 24]);
 	});
 
-	it('lets one lost race fail alone', async () => {
-		// Two VMs write an intent for the same key; the slower one's batch holds the
-		// intents of other callers too, which must not be refused with it.
+	it('fails only the group that has a conflict', async () => {
+		// Two VMs write an intent for the same key. The batch of the slower VM also
+		// has intents of other callers, which must not be refused with it.
 		const {table} = createTable();
 		const {commit} = createGroupCommit({table});
 		await commit(groupOf('k-1', 'other'));
@@ -72,9 +72,9 @@
 		assert.deepEqual(results.map(result => result.committed), [true, false, true]);
 	});
 
-	it('keeps groups waiting for a transaction under way, but not for one that hangs', async () => {
-		// The connection of one transaction goes silent. Orders that come after it
-		// must not wait for the time at which that one is given up.
+	it('queues groups behind a transaction in flight, but not behind one that hangs', async () => {
+		// The connection of one transaction is dead. Later orders must not wait until
+		// that transaction times out.
 		const clock = FakeTimers.install();
 		try {
 			const {table, transactions} = createTable();
@@ -93,15 +93,15 @@
 		}
 	});
 
-	it('gives up groups that wait long for a silent table, and never sends them later', async () => {
-		// The table falls silent while orders come fast. Each must hear "not run"
-		// soon, and must not be written once the table answers again.
+	it('rejects groups that are queued too long, and never sends them later', async () => {
+		// The table stops responding while orders arrive. Each must be refused as not
+		// run soon, and must not be written once the table responds again.
 		const clock = FakeTimers.install();
 		try {
 			const {table, transactions} = createTable();
 			let isSilent = true;
 			const transact = async (writes: TableWrite[]) => isSilent ? failLate() : table.transact(writes);
-			const {commit} = createGroupCommit({table: {...table, transact}, mostUnderWay: 1});
+			const {commit} = createGroupCommit({table: {...table, transact}, maxInFlight: 1});
 			const hung = commit(groupOf('k-hangs')).then(() => 'committed', (error: unknown) => error);
 			await clock.tickAsync(1);
 			const given = commit(groupOf('k-1')).then(() => 'committed', (error: unknown) => error);
@@ -116,7 +116,7 @@
 		}
 	});
 
-	it('settles a lost answer by reading back, and says so when nothing shows', async () => {
+	it('reads back after a lost response, and rejects if the write does not show', async () => {
 		const {commit} = createGroupCommit({table: createTable(() => 'applied').table});
 		const {committed} = await commit(groupOf('k-1'));
 		assert.isTrue(committed);
--- a/packages/router/src/test/orders/http-sink.test.ts
+++ b/packages/router/src/test/orders/http-sink.test.ts
@@ -1,11 +1,11 @@
 import {assert} from 'chai';
-import {endpointAnswer} from '../../lib/orders/http-sink.js';
+import {createCallerHead} from '../../lib/orders/http-sink.js';
 
-describe('endpointAnswer', () => {
-	it('withholds what concerns the endpoint\'s connection, and an outcome that the endpoint claims', () => {
-		// An endpoint that says "not run" of itself proves nothing: its caller would
-		// send an order again that did run.
-		const {headers} = endpointAnswer({
+describe('createCallerHead', () => {
+	it('removes hop-by-hop headers, and an outcome header set by the endpoint', () => {
+		// A "not run" set by the endpoint proves nothing, and the caller would repeat
+		// an order that did run.
+		const {headers} = createCallerHead({
 			status: 200, headers: [
 				'Connection',
 				'X-Hop',
--- a/packages/router/src/test/orders/request-body.test.ts
+++ b/packages/router/src/test/orders/request-body.test.ts
@@ -18,9 +18,9 @@
 }
 
 describe('createRequestBody', () => {
-	it('opens again from its first byte, also after an attempt that stopped half way', async () => {
-		// The first endpoint resets while the caller still sends. The second must get
-		// the bytes that the first one took.
+	it('can be opened again from its first byte, also after an attempt that stopped half-way', async () => {
+		// The first endpoint resets the connection while the caller is still sending.
+		// The second must also get the bytes that the first one read.
 		const body = createRequestBody({source: chunksOf('ab', 'cd', 'ef'), replayBytes: 10});
 		const abandoned = body.open()[Symbol.asyncIterator]();
 		await abandoned.next();
@@ -30,14 +30,14 @@
 		assert.deepEqual([text, await readText(body.open())], ['abcdef', 'abcdef']);
 	});
 
-	it('opens once when it is longer than what is kept, and says so', async () => {
+	it('can be opened only once if it is longer than the replay limit', async () => {
 		const body = createRequestBody({source: chunksOf('ab', 'cd', 'ef'), replayBytes: 3});
 		assert.isTrue(body.canOpen());
 		const text = await readText(body.open());
 		assert.deepEqual([text, body.canOpen()], ['abcdef', false]);
 	});
 
-	it('is read whole up to a limit', async () => {
+	it('can be read whole up to a limit', async () => {
 		const fits = await createRequestBody({source: chunksOf('ab', 'cd'), replayBytes: 0}).readAll(4);
 		const tooLong = await createRequestBody({source: chunksOf('ab', 'cd'), replayBytes: 0}).readAll(3);
 		assert.deepEqual([fits?.toString(), tooLong], ['abcd', undefined]);
--- a/packages/router/src/test/orders/route-idempotency.test.ts
+++ b/packages/router/src/test/orders/route-idempotency.test.ts
@@ -25,7 +25,7 @@
 		['DELETE', '/orders', 'once'],
 	];
 	for (const [method, path, kind] of rows) {
-		it(`takes ${method} ${path} for ${kind}`, () => {
+		it(`classifies ${method} ${path} as ${kind}`, () => {
 			assert.equal(classifyRoute(service, method, path), kind);
 		});
 	}
--- a/packages/router/src/test/orders/undici-transport.test.ts
+++ b/packages/router/src/test/orders/undici-transport.test.ts
@@ -2,12 +2,12 @@
 import {createHandler, type ExchangeState} from '../../lib/orders/undici-transport.js';
 
 describe('createHandler', () => {
-	it('lets a request be written once, though the client starts it again', () => {
-		// The connection closes while an order runs, and the client puts the same
-		// request on a new connection by itself. Its bytes may have run already: the
-		// second start must be refused, and the order counts as perhaps run.
+	it('writes a request only once, even if the client starts it again', () => {
+		// The connection closes while an order runs, and undici sends the same request
+		// on a new connection. The order may have run already: the second start must
+		// be refused, and the failure must count as one that may have reached the endpoint.
 		const state: ExchangeState = {
-			shared: false, left: false, cancelled: false, ended: false, callerBroke: false,
+			shared: false, sent: false, cancelled: false, ended: false, callerBodyFailed: false,
 		};
 		const failures: string[] = [];
 		const nothing = () => undefined;
--- a/packages/router/src/test/orders/unframed-answer.test.ts
+++ b/packages/router/src/test/orders/unframed-response.test.ts
@@ -5,13 +5,13 @@
 import {type ExchangeEvents} from '../../lib/orders/endpoint-transport.js';
 import {createUndiciTransport} from '../../lib/orders/undici-transport.js';
 
-/** Serves one raw answer to every connection, ended as told. */
-async function serve(answer: string, end: (socket: Socket) => void): Promise<{server: Server; address: string}> {
+/** Serves the same raw response to every connection and then calls `end`. */
+async function serve(response: string, end: (socket: Socket) => void): Promise<{server: Server; address: string}> {
 	const server = createServer(socket => {
 		socket.on('error', () => undefined);
 		socket.once('data', () => {
-			socket.write(answer, () => {
-				// The bytes have to be read before a reset, which would throw them away.
+			socket.write(response, () => {
+				// A reset discards bytes that the client has not read yet.
 				setImmediate(() => {
 					setTimeout(end, 50, socket);
 				});
@@ -48,13 +48,13 @@
 	return outcome;
 }
 
-describe('an answer without length', () => {
+describe('a response without a length', () => {
 	const head = 'HTTP/1.1 200 OK\r\n';
 
-	it('is not whole when its connection is reset', async () => {
-		// An endpoint that crashes resets its connections. Its answer stated no
-		// length and was to end with the connection, so the caller must not get
-		// what had come by then as a whole answer.
+	it('is truncated if its connection is reset', async () => {
+		// An endpoint that crashes resets its connections. A response without a length
+		// ends with its connection, and the part received before the reset must not
+		// pass as a complete response.
 		const {server, address} = await serve(`${head}\r\nhalf of the ans`, socket => {
 			socket.resetAndDestroy();
 		});
@@ -62,7 +62,7 @@
 		server.close();
 	});
 
-	it('is whole when its connection is closed', async () => {
+	it('is complete if its connection is closed', async () => {
 		const {server, address} = await serve(`${head}\r\nthe whole answer`, socket => {
 			socket.end();
 		});
@@ -70,7 +70,7 @@
 		server.close();
 	});
 
-	it('with chunks is not whole before its last chunk', async () => {
+	it('is not complete before its last chunk if it is chunked', async () => {
 		const {server, address} = await serve(`${head}Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n5\r\nfirst\r\n`, socket => {
 			socket.resetAndDestroy();
 		});
