--- a/packages/router/console/console.js
+++ b/packages/router/console/console.js
@@ -1,6 +1,6 @@
 /**
- * The console: loads the document, shows it as a form, and sends it back as a
- * whole. The operator's key stays in this page's memory and is stored nowhere.
+ * The console: loads the document, shows it as a form, and sends it back in
+ * full. The operator's key is held only in the memory of this page.
  */
 import {mergeDocuments} from './merge.js';
 import {buildForm, showFaults} from './schema-form.js';
@@ -12,7 +12,7 @@
 	key: '', version: 0, base: undefined, form: undefined, schema: undefined,
 };
 
-/** Calls the administration API; resolves also when it refuses. */
+/** Calls the administration API; resolves whatever the status of the answer. */
 async function call(method, path, options = {}) {
 	const res = await fetch(path, {
 		method,
@@ -29,11 +29,11 @@
 	return {status: res.status, text, body: isJson ? JSON.parse(text) : undefined};
 }
 
-function say(text) {
+function showMessage(text) {
 	byId('message').textContent = text;
 }
 
-const messageOf = ({status, body}) => body?.error?.message ?? `The daemon answered ${status}.`;
+const errorMessageOf = ({status, body}) => body?.error?.message ?? `The daemon answered ${status}.`;
 
 function showDocument(value, version) {
 	state.version = version;
@@ -46,7 +46,7 @@
 async function load() {
 	const schema = await call('GET', '/v1/configuration/schema');
 	if (schema.status !== 200) {
-		say(messageOf(schema));
+		showMessage(errorMessageOf(schema));
 		return;
 	}
 
@@ -56,7 +56,7 @@
 		layout: 1, dataCentres: [], workspaces: [], services: [], endpoints: [],
 	};
 	showDocument(state.base, accepted.body.version ?? 0);
-	say('Loaded.');
+	showMessage('Loaded.');
 	byId('main').focus();
 }
 
@@ -73,85 +73,85 @@
 
 const formatValue = value => value === undefined ? '(nothing)' : JSON.stringify(value);
 
-function showChanges(place, title, changes) {
+function showChanges(container, title, changes) {
 	const heading = page.createElement('h3');
 	heading.textContent = title;
-	place.append(heading, listItems(changes.map(({path, before, after}) => `${path}: ${formatValue(before)} becomes ${formatValue(after)}`)));
+	container.append(heading, listItems(changes.map(({path, before, after}) => `${path}: ${formatValue(before)} becomes ${formatValue(after)}`)));
 }
 
 function showFaultList(faults) {
-	const homeless = showFaults(page, state.form.fields, faults);
-	byId('faults').replaceChildren(listItems(homeless.map(({path, message}) => `${path}: ${message}`)));
-	say(faults.length === 0 ? 'The document holds together.' : `${faults.length} field(s) to mend.`);
+	const unmatched = showFaults(page, state.form.fields, faults);
+	byId('faults').replaceChildren(listItems(unmatched.map(({path, message}) => `${path}: ${message}`)));
+	showMessage(faults.length === 0 ? 'The document holds together.' : `${faults.length} field(s) to mend.`);
 }
 
 async function check() {
 	const answer = await call('POST', '/v1/configuration/check', {body: state.form.read()});
-	const place = byId('difference');
-	place.replaceChildren();
+	const container = byId('difference');
+	container.replaceChildren();
 	if (answer.status !== 200) {
-		say(messageOf(answer));
+		showMessage(errorMessageOf(answer));
 		return;
 	}
 
 	showFaultList(answer.body.faults);
 	byId('accept').disabled = answer.body.faults.length > 0 || answer.body.changes.length === 0;
-	showChanges(place, 'What accepting it changes', answer.body.changes);
+	showChanges(container, 'What accepting it changes', answer.body.changes);
 }
 
-/** Another operator was faster: their changes come in, and what was typed here stays. */
-async function mend(error) {
+/** Merges the change of another operator that was accepted first into the form, keeping the input. */
+async function mergeConcurrentChange(error) {
 	const mine = state.form.read();
 	const accepted = await call('GET', '/v1/configuration');
 	if (accepted.status !== 200) {
-		say(`${error.message} Your input is kept; try again.`);
+		showMessage(`${error.message} Your input is kept; try again.`);
 		return;
 	}
 
 	const {value, conflicts} = mergeDocuments(state.base, accepted.body.document, mine);
 	state.base = accepted.body.document;
 	showDocument(value, accepted.body.version);
-	const place = byId('difference');
-	place.replaceChildren();
-	showChanges(place, 'Another operator changed meanwhile', error.theirs ?? []);
+	const container = byId('difference');
+	container.replaceChildren();
+	showChanges(container, 'Another operator changed meanwhile', error.theirs ?? []);
 	if (conflicts.length > 0) {
 		const heading = page.createElement('h3');
 		heading.textContent = 'Both of you changed these; your input stands';
-		place.append(heading, listItems(conflicts));
+		container.append(heading, listItems(conflicts));
 	}
 
 	byId('accept').disabled = true;
-	say('Another change came first. It is in the form now, beside yours. Check again before you accept.');
-	place.focus();
+	showMessage('Another change came first. It is in the form now, beside yours. Check again before you accept.');
+	container.focus();
 }
 
 async function accept() {
 	const answer = await call('PUT', '/v1/configuration', {body: state.form.read(), version: state.version});
 	if (answer.status === 412) {
-		await mend(answer.body.error);
+		await mergeConcurrentChange(answer.body.error);
 		return;
 	}
 
 	if (answer.status !== 200) {
 		showFaultList(answer.body?.error?.faults ?? []);
-		say(messageOf(answer));
+		showMessage(errorMessageOf(answer));
 		return;
 	}
 
 	state.base = state.form.read();
 	byId('accept').disabled = true;
 	byId('difference').replaceChildren();
-	await follow(answer.body);
+	await followVersion(answer.body);
 }
 
 const pollMs = 1000;
 
-/** Says where a version is in force, until it is everywhere. */
-async function follow(summary) {
+/** Shows where a version is in force until it is in force everywhere. */
+async function followVersion(summary) {
 	state.version = Math.max(state.version, summary.version);
 	byId('version').textContent = `Made from version ${state.version}.`;
 	for (let shown = summary; ;) {
-		say(`Version ${shown.version}: ${shown.text}`);
+		showMessage(`Version ${shown.version}: ${shown.text}`);
 		if (shown.complete || shown.version < state.version) {
 			return;
 		}
@@ -161,7 +161,7 @@
 		});
 		const answer = await call('GET', `/v1/configuration/versions/${shown.version}/in-force`);
 		if (answer.status !== 200) {
-			say(messageOf(answer));
+			showMessage(errorMessageOf(answer));
 			return;
 		}
 
@@ -176,7 +176,7 @@
 		? await call('POST', `/v1/workspaces/${workspace}/keys`, {body: {id}, version: state.version})
 		: await call('DELETE', `/v1/workspaces/${workspace}/keys/${encodeURIComponent(id)}`, {version: state.version});
 	if (answer.status >= 300) {
-		byId('issued').textContent = messageOf(answer);
+		byId('issued').textContent = errorMessageOf(answer);
 		return;
 	}
 
@@ -186,31 +186,31 @@
 	const {value} = mergeDocuments(state.base, accepted.body.document, mine);
 	state.base = accepted.body.document;
 	showDocument(value, accepted.body.version);
-	await follow(action === 'issue' ? answer.body.inForce : answer.body);
+	await followVersion(action === 'issue' ? answer.body.inForce : answer.body);
 }
 
-/** A fault of the network keeps what was typed. */
-const guarded = work => async event => {
+/** Wraps an event handler: when the daemon can't be reached, shows a message and keeps the input. */
+const withNetworkErrors = work => async event => {
 	event.preventDefault();
 	try {
 		await work(event);
 	} catch {
-		say('The daemon could not be reached. Your input is kept; try again, or use another daemon.');
+		showMessage('The daemon could not be reached. Your input is kept; try again, or use another daemon.');
 	}
 };
 
-byId('sign-in').addEventListener('submit', guarded(async () => {
+byId('sign-in').addEventListener('submit', withNetworkErrors(async () => {
 	state.key = byId('operator-key').value;
 	await load();
 }));
-byId('document-form').addEventListener('submit', guarded(check));
+byId('document-form').addEventListener('submit', withNetworkErrors(check));
 byId('document-form').addEventListener('input', () => {
 	byId('accept').disabled = true;
 });
-byId('check').addEventListener('click', guarded(check));
-byId('accept').addEventListener('click', guarded(accept));
-byId('key-form').addEventListener('submit', guarded(event => changeKey(event.submitter.value)));
-byId('burn').addEventListener('click', guarded(async () => {
+byId('check').addEventListener('click', withNetworkErrors(check));
+byId('accept').addEventListener('click', withNetworkErrors(accept));
+byId('key-form').addEventListener('submit', withNetworkErrors(event => changeKey(event.submitter.value)));
+byId('burn').addEventListener('click', withNetworkErrors(async () => {
 	const {text} = await call('GET', '/v1/reports/burn?format=text');
 	byId('burn-report').textContent = text;
 }));
--- a/packages/router/console/merge.js
+++ b/packages/router/console/merge.js
@@ -1,14 +1,14 @@
 /**
- * Brings an operator's input onto a version that somebody else changed, without
- * losing any of it: what only one side changed is taken, what both changed
- * stays as the operator has it and is named.
+ * Three-way merge of an operator's input with a version that another operator
+ * changed. A change by only one side is taken; where both sides changed the same
+ * field, the input is kept and its path is reported as a conflict.
  */
 
 const isObject = value => typeof value === 'object' && value !== null && !Array.isArray(value);
 
 const isEqual = (a, b) => JSON.stringify(a) === JSON.stringify(b);
 
-/** Lists of named things are compared by name, so that an insertion moves nothing else. */
+/** List items are matched by name or id, so that an insertion does not shift the items after it. */
 const labelOf = item => isObject(item) ? item.name ?? item.id : undefined;
 
 function byLabel(list) {
@@ -23,10 +23,10 @@
 const entriesOf = value => isObject(value) ? new Map(Object.entries(value)) : byLabel(value);
 
 /**
- * @param {unknown} base What both sides started from.
- * @param {unknown} theirs What is accepted now.
- * @param {unknown} mine What the operator has typed.
- * @returns {{value: unknown, conflicts: string[]}} Places that both sides changed differently, by path.
+ * @param {unknown} base The version that both sides started from.
+ * @param {unknown} theirs The currently accepted document.
+ * @param {unknown} mine The operator's input.
+ * @returns {{value: unknown, conflicts: string[]}} The merged document, and the paths of fields that both sides changed differently.
  */
 export function mergeDocuments(base, theirs, mine, path = '') {
 	if (isEqual(mine, base) || isEqual(mine, theirs)) {
@@ -49,8 +49,8 @@
 	const merged = new Map();
 	const conflicts = [];
 	for (const key of new Set([...theirs.keys(), ...mine.keys()])) {
-		const inner = isList ? `${path}[${key}]` : `${path}${path === '' ? '' : '.'}${key}`;
-		const result = mergeDocuments(base.get(key), theirs.get(key), mine.get(key), inner);
+		const innerPath = isList ? `${path}[${key}]` : `${path}${path === '' ? '' : '.'}${key}`;
+		const result = mergeDocuments(base.get(key), theirs.get(key), mine.get(key), innerPath);
 		conflicts.push(...result.conflicts);
 		if (result.value !== undefined) {
 			merged.set(key, result.value);
--- a/packages/router/console/schema-form.js
+++ b/packages/router/console/schema-form.js
@@ -1,6 +1,6 @@
 /**
- * A form that follows a JSON schema. Everything that comes from the document is
- * put in as text or as a value, never as markup.
+ * Builds forms from JSON schemas. Content of the document is inserted as text or
+ * as a value, never as markup.
  */
 
 let lastId = 0;
@@ -19,7 +19,7 @@
 	return element;
 }
 
-const kinds = {
+const builders = {
 	object: buildObject,
 	array: buildList,
 	boolean: buildBoolean,
@@ -29,7 +29,7 @@
 };
 
 /**
- * Builds a form.
+ * Builds a form for a value of a JSON schema.
  *
  * @returns {{element: HTMLElement, read: () => unknown, fields: Map<string, HTMLElement>}}
  * `fields` holds each input by its path, such as `workspaces[2].name`.
@@ -41,7 +41,7 @@
 
 function buildField(form, schema, value, path) {
 	const variants = schema.oneOf ?? schema.anyOf;
-	const build = variants === undefined ? kinds[schema.type] ?? buildText : buildVariants;
+	const build = variants === undefined ? builders[schema.type] ?? buildText : buildVariants;
 	return build(form, schema, value, path);
 }
 
@@ -86,7 +86,7 @@
 	};
 }
 
-/** What is no number goes as it was typed: the check names the field. */
+/** Returns text that is not a number unchanged, so that the server's check reports the field. */
 const parseNumber = text => Number.isNaN(Number(text)) ? text : Number(text);
 
 function buildBoolean(form, schema, value, path) {
@@ -96,8 +96,8 @@
 
 function buildObject(form, schema, value, path) {
 	const parts = Object.entries(schema.properties ?? {}).map(([name, property]) => {
-		const inner = path === '' ? name : `${path}.${name}`;
-		return [name, buildField(form, property, value?.[name], inner)];
+		const innerPath = path === '' ? name : `${path}.${name}`;
+		return [name, buildField(form, property, value?.[name], innerPath)];
 	});
 	const legend = createElement(form.page, 'legend', {textContent: value?.name ?? value?.id ?? titleOf(path)});
 	const children = path === '' ? [] : [legend];
@@ -117,7 +117,7 @@
 	};
 }
 
-/** Alternatives are told apart by a constant, such as `kind`. */
+/** Builds a choice of variants, which are distinguished by a constant field such as `kind`. */
 function buildVariants(form, schema, value, path) {
 	const variants = schema.oneOf ?? schema.anyOf;
 	const [name] = Object.entries(variants[0].properties ?? {}).find(([, property]) => property.const !== undefined) ?? [''];
@@ -125,22 +125,22 @@
 	const options = variants.map(variant => createElement(form.page, 'option', {value: constantOf(variant), textContent: constantOf(variant)}));
 	const select = createElement(form.page, 'select', {'aria-label': `${titleOf(path)}: ${name}`}, options);
 	select.value = value?.[name] ?? constantOf(variants[0]);
-	const place = createElement(form.page, 'div');
+	const container = createElement(form.page, 'div');
 	let current;
 	const show = shown => {
 		const variant = variants.find(item => constantOf(item) === select.value) ?? variants[0];
 		current = buildField(form, variant, {...shown, [name]: constantOf(variant)}, path);
-		place.replaceChildren(current.element);
+		container.replaceChildren(current.element);
 	};
 
 	show(value);
 	select.addEventListener('change', () => show(current.read()));
-	return {element: createElement(form.page, 'div', {}, [select, place]), read: () => current.read()};
+	return {element: createElement(form.page, 'div', {}, [select, container]), read: () => current.read()};
 }
 
 function buildList(form, schema, value, path) {
 	let items = [];
-	const place = createElement(form.page, 'div');
+	const container = createElement(form.page, 'div');
 	const show = values => {
 		for (const shown of form.fields.keys()) {
 			if (shown.startsWith(`${path}[`)) {
@@ -149,11 +149,11 @@
 		}
 
 		items = values.map((item, index) => buildField(form, schema.items ?? {}, item, `${path}[${index}]`));
-		place.replaceChildren(...items.map((item, index) => createElement(form.page, 'div', {}, [item.element, buildRemove(index)])));
+		container.replaceChildren(...items.map((item, index) => createElement(form.page, 'div', {}, [item.element, buildRemoveButton(index)])));
 	};
 
 	const read = () => items.map(item => item.read() ?? '');
-	const buildRemove = index => {
+	const buildRemoveButton = index => {
 		const button = createElement(form.page, 'button', {type: 'button', textContent: `Remove ${titleOf(path)} ${index + 1}`});
 		button.addEventListener('click', () => {
 			show(read().toSpliced(index, 1));
@@ -165,26 +165,26 @@
 	const add = createElement(form.page, 'button', {type: 'button', textContent: `Add to ${titleOf(path)}`});
 	add.addEventListener('click', () => {
 		show([...read(), undefined]);
-		place.lastElementChild?.querySelector('input, select')?.focus();
+		container.lastElementChild?.querySelector('input, select')?.focus();
 	});
 	show(value ?? schema.default ?? []);
 	const legend = createElement(form.page, 'legend', {textContent: titleOf(path)});
-	return {element: createElement(form.page, 'fieldset', {}, [legend, place, add]), read};
+	return {element: createElement(form.page, 'fieldset', {}, [legend, container, add]), read};
 }
 
-/** Puts faults at their fields; returns those whose field isn't shown. */
+/** Shows faults at their fields; returns those without a field in the form. */
 export function showFaults(page, fields, faults) {
 	for (const input of fields.values()) {
 		input.removeAttribute('aria-invalid');
 		setFault(page, input, '');
 	}
 
-	const homeless = [];
+	const unmatched = [];
 	let first;
 	for (const fault of faults) {
 		const input = fields.get(fault.path);
 		if (input === undefined) {
-			homeless.push(fault);
+			unmatched.push(fault);
 			continue;
 		}
 
@@ -194,12 +194,12 @@
 	}
 
 	first?.focus();
-	return homeless;
+	return unmatched;
 }
 
 function setFault(page, input, text) {
-	const place = page.querySelector(`#${input.id}-fault`);
-	if (place) {
-		place.textContent = text;
+	const faultElement = page.querySelector(`#${input.id}-fault`);
+	if (faultElement) {
+		faultElement.textContent = text;
 	}
 }
--- a/packages/router/src/configuration.ts
+++ b/packages/router/src/configuration.ts
@@ -1,4 +1,4 @@
-/** The one document that describes a fleet, and how it comes into force. */
+/** The document that describes a fleet: its validation, storage and distribution to the daemons. */
 export * from './lib/configuration/document.js';
 export * from './lib/configuration/parse-document.js';
 export * from './lib/configuration/configuration-errors.js';
--- a/packages/router/src/lib/administration/administration-errors.ts
+++ b/packages/router/src/lib/administration/administration-errors.ts
@@ -2,7 +2,7 @@
 import {type DocumentFault} from '../configuration/configuration-errors.js';
 import {LayerError} from '../errors/layer-error.js';
 
-/** No operator has the key that came with the request. */
+/** The request carries no key of an operator. */
 export class OperatorUnknownError extends LayerError {
 	readonly code = 'operator_unknown';
 
@@ -11,7 +11,7 @@
 	}
 }
 
-/** The operator may read, and the request would change something. */
+/** The operator has the role `read`, and the route needs the role `change`. */
 export class OperatorRoleError extends LayerError {
 	readonly code = 'operator_role';
 
@@ -20,7 +20,7 @@
 	}
 }
 
-/** The request does not fit the schema of its route. */
+/** The request does not match the schema of its route. */
 export class RequestInvalidError extends LayerError {
 	readonly code = 'request_invalid';
 
@@ -29,7 +29,7 @@
 	}
 }
 
-/** A change must say from which version it was made. */
+/** The request lacks a valid If-Match header with the version that the change is based on. */
 export class VersionRequiredError extends LayerError {
 	readonly code = 'version_required';
 
@@ -38,12 +38,12 @@
 	}
 }
 
-/** There is nothing of this name. */
+/** The requested resource does not exist. */
 export class NotFoundError extends LayerError {
 	readonly code = 'not_found';
 }
 
-/** The name is taken already. */
+/** A resource of this name exists already. */
 export class AlreadyThereError extends LayerError {
 	readonly code = 'already_there';
 }
--- a/packages/router/src/lib/administration/administration-server.ts
+++ b/packages/router/src/lib/administration/administration-server.ts
@@ -1,6 +1,6 @@
 /**
- * The server that operators reach, on an address of its own. Nothing of a
- * caller's traffic passes here, and no caller's key is taken.
+ * HTTP server for operators, on a separate address. It carries no traffic of
+ * callers and does not accept their keys.
  */
 import {randomUUID} from 'node:crypto';
 import fastify, {type FastifyError, type FastifyInstance, type FastifyReply} from 'fastify';
@@ -18,18 +18,18 @@
 import {type Route, type RouteAnswer} from './route.js';
 
 export type AdministrationServerOptions = ConfigurationRoutesOptions & FleetRoutesOptions & {
-	/** Who may use it; from the daemon's settings. */
+	/** Operators who may use the server, from the daemon's settings. */
 	operators: readonly Operator[];
 	/** Version of this program, for the OpenAPI document. */
 	programVersion?: string;
-	/** Largest body in bytes, 16 MiB by default; the document at the target size has 2.7 MB. */
+	/** Largest body in bytes; 16 MiB by default. The document at the target size has 2.7 MB. */
 	largestBodyBytes?: number;
-	/** Adds further routes before the server listens. */
+	/** Adds further routes; called before the server listens. */
 	extend?: (app: FastifyInstance) => void;
 	log?: Log;
 };
 
-/** The server. */
+/** The administration server. */
 export type AdministrationServer = {
 	/** Resolves to the bound address as a URL. */
 	listen: (address: BindAddress) => Promise<string>;
@@ -38,8 +38,8 @@
 
 const defaultLargestBodyBytes = 16 * 1024 * 1024;
 
-/** Answers hold keys and names: nobody may keep, frame or sniff them. */
-const safetyHeaders = {
+/** Answers contain keys and names, so browsers and proxies must not cache, frame or content-sniff them. */
+const securityHeaders = {
 	'cache-control': 'no-store',
 	'content-security-policy': 'default-src \'none\'; style-src \'unsafe-inline\'; frame-ancestors \'none\'',
 	'referrer-policy': 'no-referrer',
@@ -47,7 +47,7 @@
 };
 
 /**
- * Creates the server; it listens when told.
+ * Creates the server, which does not listen until `listen` is called.
  *
  * @example
  * const server = createAdministrationServer({operators, configuration: store, inForce, status, unknownOrders, burnReport});
@@ -62,14 +62,14 @@
 		genReqId: () => randomUUID(),
 	});
 	app.addHook('onSend', async (req, reply) => {
-		void reply.headers({...safetyHeaders, ...reply.getHeaders(), 'x-request-id': req.id});
+		void reply.headers({...securityHeaders, ...reply.getHeaders(), 'x-request-id': req.id});
 	});
 	app.setErrorHandler(async (error: FastifyError, req, reply) => {
-		if (toErrorAnswer(translate(error)).status === 500) {
-			log.error('A request met a fault of the daemon.', {requestId: req.id, err: error});
+		if (toErrorAnswer(translateHttpError(error)).status === 500) {
+			log.error('Request failed with an internal error.', {requestId: req.id, err: error});
 		}
 
-		return sendError(reply, translate(error));
+		return sendError(reply, translateHttpError(error));
 	});
 	app.setNotFoundHandler(async (_req, reply) => sendError(reply, new NotFoundError('There is nothing at this path. See /v1/openapi.json.')));
 	mountRoutes(app, [...defineConfigurationRoutes(options), ...defineKeyRoutes(options), ...defineFleetRoutes(options)], options, log);
@@ -84,27 +84,27 @@
 }
 
 function mountRoutes(app: FastifyInstance, routes: readonly Route[], options: AdministrationServerOptions, log: Log): void {
-	const gate = createOperatorGate(options.operators);
+	const authorizer = createOperatorGate(options.operators);
 	const openApi = createOpenApi(routes, options.programVersion ?? '0.1.0');
 	app.get('/v1/openapi.json', async req => {
-		gate.admit(req.headers.authorization, 'read');
+		authorizer.admit(req.headers.authorization, 'read');
 		return openApi;
 	});
 	for (const route of routes) {
 		app.route({
 			method: route.method,
 			url: route.path,
-			// Before the body is read: a stranger must not make the daemon hold 16 MiB.
+			// Authorizes before the body is read, so that an unknown client can't make the daemon buffer 16 MiB.
 			async onRequest(req) {
-				gate.admit(req.headers.authorization, route.role);
+				authorizer.admit(req.headers.authorization, route.role);
 			},
 			async handler(req, reply) {
-				const operator = gate.admit(req.headers.authorization, route.role);
+				const operator = authorizer.admit(req.headers.authorization, route.role);
 				const answer = await route.run({
 					operator, params: req.params, query: req.query, body: req.body, ifMatch: req.headers['if-match'],
 				});
 				if (route.role === 'change') {
-					log.info('An operator made a change.', {
+					log.info('Operator made a change.', {
 						requestId: req.id, operator: operator.name, path: `${route.method} ${route.path}`, ...(answer.version !== undefined && {version: answer.version}),
 					});
 				}
@@ -140,8 +140,8 @@
 	FST_ERR_CTP_INVALID_CONTENT_LENGTH: 'not as long as its header says',
 };
 
-/** What the HTTP library refuses, in this API's words; its texts may quote the body. */
-function translate(error: FastifyError): unknown {
+/** Translates errors of the HTTP library into errors of this API, since the texts of the library may quote the body. */
+function translateHttpError(error: FastifyError): unknown {
 	const message = error instanceof LayerError ? undefined : bodyFaults[error.code];
 	return message === undefined ? error : new RequestInvalidError([{path: 'body', message}]);
 }
--- a/packages/router/src/lib/administration/configuration-routes.ts
+++ b/packages/router/src/lib/administration/configuration-routes.ts
@@ -1,4 +1,4 @@
-/** Routes that show, check, change and trace the configuration. */
+/** Routes that read, check and change the configuration and list its history. */
 import {z} from 'zod';
 import {DocumentInvalidError} from '../configuration/configuration-errors.js';
 import {differenceOf} from '../configuration/document-difference.js';
@@ -14,16 +14,16 @@
 
 const versionParameter = z.strictObject({version: z.coerce.number().int().positive()});
 
-/** Any JSON: faults of a document are told by the document's own check, with its fields. */
+/** Any JSON object: the document is validated by `parseDocument`, which reports faults by field. */
 const anyDocument = z.record(z.string(), z.unknown());
 
-/** What the routes work with. */
+/** Dependencies of the routes. */
 export type ConfigurationRoutesOptions = {
 	configuration: ConfigurationPort;
 	inForce: InForcePort;
 };
 
-/** Defines the routes. */
+/** Defines the routes of the configuration. */
 export function defineConfigurationRoutes(options: ConfigurationRoutesOptions): Route[] {
 	return [...defineReadingRoutes(options), ...defineHistoryRoutes(options), defineProposal(options)];
 }
@@ -96,7 +96,7 @@
 	});
 }
 
-const mostVersions = 100;
+const maxHistoryLimit = 100;
 
 function defineHistoryRoutes({configuration, inForce}: ConfigurationRoutesOptions): Route[] {
 	const requireRecord = async (version: number): Promise<VersionRecord> => {
@@ -126,7 +126,7 @@
 			role: 'read',
 			query: z.strictObject({
 				before: z.coerce.number().int().positive().optional().describe('Only versions below this one.'),
-				limit: z.coerce.number().int().min(1).max(mostVersions).default(20),
+				limit: z.coerce.number().int().min(1).max(maxHistoryLimit).default(20),
 			}),
 			answers: {200: historySchema},
 			async handle({query: {before, limit}}) {
--- a/packages/router/src/lib/administration/console-files.ts
+++ b/packages/router/src/lib/administration/console-files.ts
@@ -1,4 +1,4 @@
-/** Serves the console: fixed files of this package, under a strict content policy. */
+/** Serves the console's static files under a strict content security policy. */
 import {readFile} from 'node:fs/promises';
 import {type FastifyInstance} from 'fastify';
 
@@ -13,10 +13,10 @@
 } as const;
 
 /**
- * Names in the document come from operators, and a name that looks like markup
- * must not run in another operator's browser, who may have the role `change`.
- * The script puts names in as text; should it ever fail to, this policy keeps
- * inline scripts and foreign hosts out all the same.
+ * Guards against stored cross-site scripting: names in the document come from
+ * operators, and markup in a name must not run in the browser of another
+ * operator, who may have the role `change`. The console inserts names as text;
+ * if it ever fails to, this policy still blocks inline scripts and other hosts.
  */
 const contentPolicy = [
 	'default-src \'none\'',
@@ -29,7 +29,7 @@
 	'require-trusted-types-for \'script\'',
 ].join('; ');
 
-/** Adds the console's routes. The files hold no secret; the API asks for the operator's key. */
+/** Adds the console's routes, which need no key: the files contain no secret, and the API requires the operator's key. */
 export function addConsole(app: FastifyInstance): void {
 	app.get('/', async (_req, reply) => reply.redirect('/console/'));
 	app.get('/console', async (_req, reply) => reply.redirect('/console/'));
--- a/packages/router/src/lib/administration/error-answers.ts
+++ b/packages/router/src/lib/administration/error-answers.ts
@@ -1,11 +1,11 @@
-/** Errors as operators are told: one status and body for each code. */
+/** Maps errors to answers: a status for each error code, and a body. */
 import {
 	ConfigurationConflictError, ConfigurationOutcomeUnknownError, DocumentInvalidError,
 } from '../configuration/configuration-errors.js';
 import {LayerError} from '../errors/layer-error.js';
 import {RequestInvalidError} from './administration-errors.js';
 
-/** Status by the code of the error; everything else is a fault of this program. */
+/** HTTP status by error code; any other error is internal. */
 const statuses: Record<string, number> = {
 	request_invalid: 400,
 	request_too_large: 413,
@@ -26,13 +26,13 @@
 	configuration_outcome_unknown: 504,
 };
 
-/** An error as it is sent. */
+/** Status and body of an error answer. */
 export type ErrorAnswer = {
 	status: number;
 	body: {error: {code: string; message: string} & Record<string, unknown>};
 };
 
-/** What an operator is told; foreign errors say nothing of themselves. */
+/** Creates the answer to an error. The details of internal errors are not revealed. */
 export function toErrorAnswer(err: unknown): ErrorAnswer {
 	const status = err instanceof LayerError ? statuses[err.code] : undefined;
 	if (!(err instanceof LayerError) || status === undefined) {
--- a/packages/router/src/lib/administration/fleet-routes.ts
+++ b/packages/router/src/lib/administration/fleet-routes.ts
@@ -1,4 +1,4 @@
-/** Routes about the running fleet: status, orders without an outcome, burn. */
+/** Routes about the running fleet: status, orders with unknown outcome, burn report. */
 import {z} from 'zod';
 import {formatBurnText} from '../observability/burn-text.js';
 import {type BurnReport} from '../observability/burn-report.js';
@@ -9,14 +9,14 @@
 	burnReportSchema, settlementSchema, statusSchema, unknownOrdersSchema,
 } from './schemas.js';
 
-/** What the routes work with. */
+/** Dependencies of the routes. */
 export type FleetRoutesOptions = {
 	status: StatusPort;
 	unknownOrders: UnknownOrdersPort;
 	burnReport: BurnReportPort;
 };
 
-const burnFormats = {
+const burnReportFormats = {
 	json: async report => ({status: 200, body: report}),
 	text: async report => ({status: 200, body: formatBurnText(report), contentType: 'text/plain; charset=utf-8'}),
 	async html(report, port) {
@@ -28,7 +28,7 @@
 	},
 } as const satisfies Record<string, (report: BurnReport, port: BurnReportPort) => Promise<RouteAnswer>>;
 
-/** Defines the routes. */
+/** Defines the routes of the running fleet. */
 export function defineFleetRoutes({status, unknownOrders, burnReport}: FleetRoutesOptions): Route[] {
 	return [
 		defineRoute({
@@ -66,7 +66,7 @@
 			role: 'read',
 			query: z.strictObject({format: z.enum(['json', 'text', 'html']).default('json')}),
 			answers: {200: burnReportSchema},
-			handle: async ({query: {format}}) => burnFormats[format](await burnReport.create(), burnReport),
+			handle: async ({query: {format}}) => burnReportFormats[format](await burnReport.create(), burnReport),
 		}),
 	];
 }
--- a/packages/router/src/lib/administration/key-routes.ts
+++ b/packages/router/src/lib/administration/key-routes.ts
@@ -1,6 +1,6 @@
 /**
- * Keys of callers, issued and withdrawn. Both are changes of the document like
- * any other: compared, checked and kept in the history.
+ * Routes that issue and withdraw keys of callers. Both change the document, with
+ * the same version check, validation and history as any other change.
  */
 import {z} from 'zod';
 import {type FleetDocument, keySchema, type Workspace} from '../configuration/document.js';
@@ -10,11 +10,11 @@
 import {defineRoute, type Route} from './route.js';
 import {inForceSchema, issuedKeySchema} from './schemas.js';
 
-/** Defines the routes. */
+/** Defines the routes of keys. */
 export function defineKeyRoutes({configuration, inForce}: ConfigurationRoutesOptions): Route[] {
 	/**
-	 * A copy to work on: the store keeps what it reads, and a key that was put
-	 * into it would be shown as issued even after the change was refused.
+	 * Returns a copy that may be modified. The store caches the document: a key
+	 * added to it would show as issued even after the change was refused.
 	 */
 	const readDocument = async (): Promise<FleetDocument> => {
 		const accepted = await configuration.read();
--- a/packages/router/src/lib/administration/openapi.ts
+++ b/packages/router/src/lib/administration/openapi.ts
@@ -1,11 +1,11 @@
-/** The OpenAPI document, made from the routes and their schemas. */
+/** Generates the OpenAPI document from the routes and their schemas. */
 import {z} from 'zod';
 import {type Route} from './route.js';
 import {errorSchema} from './schemas.js';
 
 type JsonObject = Record<string, unknown>;
 
-/** Describes every route. */
+/** Creates the OpenAPI document of all routes. */
 export function createOpenApi(routes: readonly Route[], version: string): JsonObject {
 	const paths: Record<string, JsonObject> = {};
 	for (const route of routes) {
@@ -48,10 +48,10 @@
 	return parameters;
 }
 
-function listParameters(schema: z.ZodType, place: 'path' | 'query'): JsonObject[] {
+function listParameters(schema: z.ZodType, location: 'path' | 'query'): JsonObject[] {
 	const {properties = {}, required = []} = toSchema(schema, 'input') as {properties?: JsonObject; required?: string[]};
 	return Object.entries(properties).map(([name, property]) => ({
-		name, in: place, required: place === 'path' || required.includes(name), schema: property,
+		name, in: location, required: location === 'path' || required.includes(name), schema: property,
 	}));
 }
 
--- a/packages/router/src/lib/administration/operators.ts
+++ b/packages/router/src/lib/administration/operators.ts
@@ -1,13 +1,13 @@
 /**
- * Operators and their keys. They stand in the daemon's settings, apart from the
- * document: whoever may change the document must not be able to make operators.
+ * Operators and their keys. They are part of the daemon's settings and not of
+ * the document, so that whoever may change the document can't add operators.
  */
 import {Buffer} from 'node:buffer';
 import {createHash, timingSafeEqual} from 'node:crypto';
 import {z} from 'zod';
 import {OperatorRoleError, OperatorUnknownError} from './administration-errors.js';
 
-/** One operator, as settings list them. */
+/** One operator in the settings. */
 export const operatorSchema = z.strictObject({
 	name: z.string().min(1).max(64).describe('Name in the history of changes.'),
 	digest: z.string().regex(/^[\da-f]{64}$/v, 'use the SHA-256 of the key in hexadecimal').describe('SHA-256 of the operator\'s key in hexadecimal.'),
@@ -17,25 +17,27 @@
 export type Operator = z.infer<typeof operatorSchema>;
 export type OperatorRole = Operator['role'];
 
-/** Tells who sends a request. */
-export type OperatorGate = {
+/** Authenticates operators and checks their role. */
+export type OperatorAuthorizer = {
 	/**
-	 * @throws {OperatorUnknownError} when the header holds no operator's key.
-	 * @throws {OperatorRoleError} when that operator may not do it.
+	 * Returns the operator whose key is in the authorization header.
+	 *
+	 * @throws {OperatorUnknownError} when the header contains no operator's key.
+	 * @throws {OperatorRoleError} when the operator lacks the role.
 	 */
 	admit: (authorization: string | undefined, role: OperatorRole) => Operator;
 };
 
-const bearer = /^Bearer ([\u0021-\u007E]{1,256})$/v;
+const bearerPattern = /^Bearer ([\u0021-\u007E]{1,256})$/v;
 
-/** Creates the gate of a fixed list of operators. */
-export function createOperatorGate(operators: readonly Operator[]): OperatorGate {
+/** Creates an authorizer for a fixed list of operators. */
+export function createOperatorGate(operators: readonly Operator[]): OperatorAuthorizer {
 	const entries = operators.map(operator => ({operator, digest: Buffer.from(operator.digest, 'hex')}));
 	return {
 		admit(authorization, role) {
-			const key = bearer.exec(authorization ?? '')?.[1] ?? '';
+			const key = bearerPattern.exec(authorization ?? '')?.[1] ?? '';
 			const digest = createHash('sha256').update(key).digest();
-			// Every entry is compared in full, so that time tells neither which one matched nor how far.
+			// All entries are compared in constant time, so that timing reveals neither which one matched nor how many bytes.
 			const found = entries.filter(entry => timingSafeEqual(entry.digest, digest));
 			if (key === '' || found.length === 0) {
 				throw new OperatorUnknownError();
--- a/packages/router/src/lib/administration/route.ts
+++ b/packages/router/src/lib/administration/route.ts
@@ -1,10 +1,10 @@
-/** One route of the administration API: what it takes, what it gives, who may call it. */
+/** Routes of the administration API: their parameters, answers and required role. */
 import {z} from 'zod';
 import {formatPath} from '../configuration/parse-document.js';
 import {RequestInvalidError, VersionRequiredError} from './administration-errors.js';
 import {type Operator, type OperatorRole} from './operators.js';
 
-/** A request before it was checked. */
+/** A request before validation. */
 export type RawRequest = {
 	operator: Operator;
 	params: unknown;
@@ -13,34 +13,34 @@
 	ifMatch: string | undefined;
 };
 
-/** What a route answers. */
+/** The answer of a route. */
 export type RouteAnswer = {
 	status: number;
 	body: unknown;
-	/** Version for the ETag, where the answer shows the configuration. */
+	/** Configuration version for the ETag; absent when the answer is not about the configuration. */
 	version?: number;
 	/** `application/json` by default. */
 	contentType?: string;
 };
 
-/** A route as the server mounts it and OpenAPI describes it. */
+/** A route, as registered with the server and described by OpenAPI. */
 export type Route = {
 	method: 'GET' | 'POST' | 'PUT' | 'DELETE';
-	/** With parameters as `:name`. */
+	/** Path with parameters as `:name`. */
 	path: string;
 	summary: string;
 	role: OperatorRole;
-	/** Whether If-Match must name the version that the change was made from. */
+	/** Whether If-Match must hold the version that the change is based on. */
 	needsVersion: boolean;
 	params: z.ZodType;
 	query: z.ZodType;
 	body: z.ZodType | undefined;
-	/** Schema of the answer by status; errors are the same for all. */
+	/** Schema of the answer by status; errors have the same schema on all routes. */
 	answers: Record<number, z.ZodType>;
 	run: (raw: RawRequest) => Promise<RouteAnswer>;
 };
 
-type Definition<Params extends z.ZodType, Query extends z.ZodType, Body extends z.ZodType> = {
+type RouteDefinition<Params extends z.ZodType, Query extends z.ZodType, Body extends z.ZodType> = {
 	method: Route['method'];
 	path: string;
 	summary: string;
@@ -53,12 +53,12 @@
 	handle: (request: {operator: Operator; params: z.output<Params>; query: z.output<Query>; body: z.output<Body>; expectedVersion: number}) => Promise<RouteAnswer>;
 };
 
-const empty = z.strictObject({});
+const emptySchema = z.strictObject({});
 
-/** Defines a route; `handle` sees only what fitted the schemas. */
-export function defineRoute<Params extends z.ZodType = z.ZodType, Query extends z.ZodType = z.ZodType, Body extends z.ZodType = z.ZodType>(definition: Definition<Params, Query, Body>): Route {
+/** Defines a route. `handle` receives only values that the schemas have validated. */
+export function defineRoute<Params extends z.ZodType = z.ZodType, Query extends z.ZodType = z.ZodType, Body extends z.ZodType = z.ZodType>(definition: RouteDefinition<Params, Query, Body>): Route {
 	const {handle, needsVersion = false} = definition;
-	const schemas = {params: definition.params ?? empty, query: definition.query ?? empty, body: definition.body ?? z.unknown()};
+	const schemas = {params: definition.params ?? emptySchema, query: definition.query ?? emptySchema, body: definition.body ?? z.unknown()};
 	return {
 		...definition,
 		needsVersion,
@@ -87,8 +87,9 @@
 }
 
 /**
- * Only one strong tag is taken. `*` would mean "whatever is there", and with it
- * the later of two operators would undo the earlier one's change unseen.
+ * Parses the version of an If-Match header. Only a single strong tag is
+ * accepted: `*` matches any version, so that the later of two operators would
+ * overwrite the earlier one's change unnoticed.
  */
 function parseIfMatch(ifMatch: string | undefined): number {
 	const digits = /^"(\d{1,15})"$/v.exec(ifMatch ?? '')?.[1];
--- a/packages/router/src/lib/administration/schema-reference.ts
+++ b/packages/router/src/lib/administration/schema-reference.ts
@@ -1,4 +1,4 @@
-/** Reference tables in Markdown, made from schemas, so that they cannot fall behind. */
+/** Generates reference tables in Markdown from schemas, so that they can't become outdated. */
 import {z} from 'zod';
 
 type Schema = {
@@ -23,7 +23,7 @@
 type Field = {path: string; type: string; fallback: string; description: string};
 
 /**
- * Formats one table with a row for each field of a schema.
+ * Formats a table with a row for each field of a schema.
  *
  * @example
  * const table = formatSchemaReference(documentSchema);
@@ -35,10 +35,10 @@
 }
 
 function listFields(schema: Schema, path: string, isRequired: boolean): Field[] {
-	const own = path === '' ? [] : [describeField(schema, path, isRequired)];
+	const ownFields = path === '' ? [] : [describeField(schema, path, isRequired)];
 	const inner = schema.items ?? schema;
 	const innerPath = schema.items === undefined ? path : `${path}[]`;
-	return [...own, ...listVariants(inner, innerPath), ...listProperties(inner, innerPath)];
+	return [...ownFields, ...listVariants(inner, innerPath), ...listProperties(inner, innerPath)];
 }
 
 function listProperties(schema: Schema, path: string): Field[] {
@@ -51,7 +51,7 @@
 	return fields;
 }
 
-/** Variants are told apart by their constant field, such as `kind`. */
+/** Lists the fields of variants, which are distinguished by a constant field such as `kind`. */
 function listVariants(schema: Schema, path: string): Field[] {
 	const fields: Field[] = [];
 	for (const variant of schema.oneOf ?? schema.anyOf ?? []) {
--- a/packages/router/src/lib/administration/schemas.ts
+++ b/packages/router/src/lib/administration/schemas.ts
@@ -1,4 +1,4 @@
-/** Schemas of what the administration API takes and gives; its OpenAPI document is made from them. */
+/** Schemas of requests and answers of the administration API; its OpenAPI document is generated from them. */
 import {z} from 'zod';
 import {documentSchema} from '../configuration/document.js';
 
@@ -71,7 +71,7 @@
 const seconds = z.number().nonnegative();
 
 export const statusSchema = z.strictObject({
-	/** The daemon that answers. */
+	/** Name of the answering daemon. */
 	daemon: z.string(),
 	dataCentre: z.string(),
 	ready: z.boolean(),
--- a/packages/router/src/lib/configuration/configuration-errors.ts
+++ b/packages/router/src/lib/configuration/configuration-errors.ts
@@ -2,14 +2,14 @@
 import {LayerError} from '../errors/layer-error.js';
 import {type DocumentChange} from './document-difference.js';
 
-/** One fault of a document, at the field where it was found. */
+/** A validation fault of a document and the field that it concerns. */
 export type DocumentFault = {
 	/** Path of the field, such as `workspaces[2].keys[0].digest`. */
 	path: string;
 	message: string;
 };
 
-/** The document does not hold together; nothing was changed. */
+/** The document is invalid; nothing was changed. */
 export class DocumentInvalidError extends LayerError {
 	readonly code = 'document_invalid';
 
@@ -18,20 +18,20 @@
 	}
 }
 
-/** The document is of a layout that this build does not know. */
+/** The layout of the document is newer than this build, or some daemon in service, supports. */
 export class DocumentTooNewError extends LayerError {
 	readonly code = 'document_too_new';
 }
 
-/** Another change was accepted first; nothing was changed by this one. */
+/** Another change was accepted first; this one changed nothing. */
 export class ConfigurationConflictError extends LayerError {
 	readonly code = 'configuration_conflict';
 
 	/**
-	 * @param expectedVersion The version that the proposal was made from.
-	 * @param currentVersion The version that is accepted now.
-	 * @param theirs What others changed since `expectedVersion`; empty when that version is no longer kept.
-	 * @param yours What accepting the proposal now would change.
+	 * @param expectedVersion The version that the proposal is based on.
+	 * @param currentVersion The currently accepted version.
+	 * @param theirs Changes by others since `expectedVersion`; empty when the history of that version is no longer kept.
+	 * @param yours Changes that accepting the proposal now would make.
 	 */
 	constructor(
 		readonly expectedVersion: number,
@@ -46,8 +46,8 @@
 }
 
 /**
- * The change may have been accepted: the table gave no answer, nor could it be
- * read afterwards. Ask again with {@link ConfigurationStore.outcomeOf}.
+ * The change may have been accepted: the table did not answer the write and
+ * could not be read afterwards. Query the outcome with {@link ConfigurationStore.outcomeOf}.
  */
 export class ConfigurationOutcomeUnknownError extends LayerError {
 	readonly code = 'configuration_outcome_unknown';
@@ -57,12 +57,12 @@
 	}
 }
 
-/** Nothing was changed: the store could not be reached before the change was written. */
+/** Nothing was changed: the store was unreachable before the change was written. */
 export class ConfigurationUnavailableError extends LayerError {
 	readonly code = 'configuration_unavailable';
 }
 
-/** Nothing was changed: this daemon does not hear enough of the others. */
+/** Nothing was changed: this daemon receives heartbeats from too few of the listed daemons. */
 export class ConfigurationMinorityError extends LayerError {
 	readonly code = 'configuration_minority';
 
@@ -72,7 +72,7 @@
 	}
 }
 
-/** Stored or received sections are not what their digest says. */
+/** Stored or received sections are missing, unreadable or do not match their digest. */
 export class SectionCorruptError extends LayerError {
 	readonly code = 'section_corrupt';
 }
--- a/packages/router/src/lib/configuration/configuration-follower.ts
+++ b/packages/router/src/lib/configuration/configuration-follower.ts
@@ -1,9 +1,11 @@
 /**
- * Brings accepted versions into force in one daemon, and tells its peers.
+ * Brings accepted versions into force in one daemon and announces them to its
+ * peers.
  *
- * Few daemons of each data centre read the small head in the table; the others
- * hear it from them with its age, and read it themselves only when that news
- * grows old. What changed comes from the peer that told, else from the store.
+ * A few daemons of each data centre poll the head row in the table; the others
+ * receive it from them with its age, and read the row themselves only when that
+ * age grows too high. Changed sections are requested from the announcing peer,
+ * or read from the store if it does not answer.
  */
 import {create} from '@bufbuild/protobuf';
 import {type ConfigurationSections, ConfigurationHeadSchema, ConfigurationRequestSchema} from '../../gen/hickorywalk/v1/configuration_pb.js';
@@ -13,7 +15,7 @@
 import {type VersionRecord} from './configuration-records.js';
 import {type Reach} from './configuration-store.js';
 import {type AcceptedDocument} from './document.js';
-import {createHeadKnowledge} from './head-knowledge.js';
+import {createHeadTracker} from './head-tracker.js';
 import {createPollSchedule} from './poll-schedule.js';
 import {
 	answerRequest, createSectionAssembly, createStepHistory, decodeAge, encodeAge,
@@ -22,13 +24,13 @@
 	emptySectionSet, type SectionDelta, type SectionSet, wholeDelta,
 } from './section-set.js';
 
-/** The live peers of a daemon, itself left out. */
+/** The live peers of a daemon, excluding itself. */
 export type ConfigurationPeers = {
-	/** Daemons of its own data centre. */
+	/** Daemons of the same data centre. */
 	nearby: readonly string[];
-	/** Daemons elsewhere. */
+	/** Daemons of other data centres. */
 	distant: readonly string[];
-	/** Place of this daemon in an order that its data centre agrees on, from 0. */
+	/** Rank of this daemon, from 0, in an order that is the same for all daemons of its data centre. */
 	rank: number;
 };
 
@@ -37,41 +39,41 @@
 	loader: ConfigurationLoader;
 	send: SendToPeer;
 	peers: () => ConfigurationPeers;
-	/** How many listed daemons this one hears, itself included. */
+	/** How many listed daemons this one receives heartbeats from, itself included. */
 	reach: () => Reach;
-	/** Milliseconds between reads of the head by the first daemons of a data centre; 500 by default. */
+	/** Milliseconds between reads of the head by the first-ranked daemons of a data centre; 500 by default. */
 	pollMs?: number;
-	/** How many daemons of a data centre read the head at that pace; 2 by default. */
+	/** How many daemons of a data centre poll at that interval; 2 by default. */
 	pollersPerDataCentre?: number;
-	/** Milliseconds after which a daemon that knows nothing newer, and hears no majority, serves no key; 15,000 by default. */
+	/** Milliseconds since its version was last known to be the newest after which a daemon accepts keys only while it receives heartbeats from a majority and knows of no newer version; 15,000 by default. */
 	isolationLimitMs?: number;
-	/** Told of a version that this daemon can't bring into force. */
+	/** Called for a version that this daemon can't bring into force. */
 	onRefused?: (version: number, error: unknown) => void;
-	/** Between 0 and 1, for the choice of a distant peer; `Math.random` by default. */
+	/** Random source in [0, 1), for the choice of peers and the backoff; `Math.random` by default. */
 	random?: () => number;
 };
 
-/** What listeners hear. */
+/** Called with each new version in force. */
 export type ConfigurationListener = (accepted: AcceptedDocument) => void;
 
-/** Keeps the newest accepted version in force in one daemon. */
+/** Keeps one daemon on the newest accepted version. */
 export type ConfigurationFollower = {
 	/** The version in force; `undefined` before the first. */
 	current: () => AcceptedDocument | undefined;
-	/** Calls on each new version, in order, before anything else is served. Returns how to end it. */
+	/** Calls the listener synchronously for each new version, in ascending order. Returns a function that unsubscribes. */
 	subscribe: (listener: ConfigurationListener) => () => void;
-	/** Milliseconds since the version in force was last known to be the newest; `Infinity` when never. */
+	/** Milliseconds since the version in force was last known to be the newest; `Infinity` if it never was. */
 	freshnessAgeMs: () => number;
-	/** Whether keys may be taken by the version in force; see docs/design/configuration.md. */
+	/** Whether keys may be authenticated by the version in force; see docs/design/configuration.md. */
 	mayServe: () => boolean;
-	/** Reads the head now; for the daemon that has just accepted a change. */
+	/** Reads the head now; used by the daemon that has just accepted a change. */
 	refresh: () => Promise<void>;
 	/** The version in force as sections, for snapshots; `undefined` before the first. */
 	held: () => HeldConfiguration | undefined;
-	/** Takes a version from a snapshot; a lower one than in force changes nothing. Its age proves nothing, so that it alone never lets the daemon serve. */
+	/** Brings a version from a snapshot into force; ignored unless it is higher than the current one. A snapshot may be outdated, so it does not count as proof of freshness: the daemon serves only after a head confirms the version. */
 	adopt: (version: number, set: SectionSet) => void;
 	handlers: PeerHandlers;
-	/** Starts to poll. */
+	/** Starts polling. */
 	start: () => void;
 	stop: () => void;
 };
@@ -80,8 +82,8 @@
 const defaultPollers = 2;
 const defaultIsolationLimitMs = 15_000;
 const ticksPerPoll = 2;
-/** News from afar is passed on nearby when it is this much fresher, in milliseconds. */
-const relayGainMs = 1000;
+/** Milliseconds by which a head from another data centre must be fresher to be relayed within this one. */
+const minRelayGainMs = 1000;
 
 /**
  * Creates the follower of one daemon.
@@ -102,7 +104,7 @@
 		rank: () => peers().rank,
 		random,
 	});
-	const knowledge = createHeadKnowledge();
+	const headTracker = createHeadTracker();
 	const steps = createStepHistory();
 	const assembly = createSectionAssembly();
 	const listeners = new Set<ConfigurationListener>();
@@ -110,14 +112,14 @@
 	let accepted: AcceptedDocument | undefined;
 	let timer: NodeJS.Timeout | undefined;
 	let polling: Promise<void> | undefined;
-	let askedAt = -Infinity;
+	let requestedAt = -Infinity;
 	let lastFreshAt = -Infinity;
 
 	/**
-	 * The one place where a version comes into force. A lower version is never
-	 * taken: it would bring back withdrawn keys from a stale peer or an old object.
+	 * The only place where a version comes into force. Lower versions are ignored:
+	 * one from a stale peer or an old object would restore withdrawn keys.
 	 */
-	function takeOver(version: number, set: SectionSet, fromVersion: number, delta: SectionDelta): void {
+	function activate(version: number, set: SectionSet, fromVersion: number, delta: SectionDelta): void {
 		if (version <= held.version) {
 			return;
 		}
@@ -132,25 +134,25 @@
 	}
 
 	function freshnessAgeMs(): number {
-		const newest = knowledge.newest();
-		// Once a newer version is known of, the one in force is not the newest and can't be renewed.
+		const newest = headTracker.newest();
+		// Once a newer version is known, the one in force is outdated and its freshness can't be renewed.
 		return newest.version === held.version ? newest.ageMs : performance.now() - lastFreshAt;
 	}
 
-	function learn(version: number, ageMs: number): void {
-		knowledge.learn({version, ageMs});
-		noteFreshness();
+	function observeHead(version: number, ageMs: number): void {
+		headTracker.observe({version, ageMs});
+		updateFreshness();
 	}
 
-	function noteFreshness(): void {
-		const newest = knowledge.newest();
+	function updateFreshness(): void {
+		const newest = headTracker.newest();
 		if (newest.version === held.version) {
 			lastFreshAt = Math.max(lastFreshAt, performance.now() - newest.ageMs);
 		}
 	}
 
 	function announceTo(names: Iterable<string>): void {
-		const newest = knowledge.newest();
+		const newest = headTracker.newest();
 		if (newest.ageMs === Infinity || newest.version === 0) {
 			return;
 		}
@@ -163,18 +165,18 @@
 		}
 	}
 
-	function pickDistant(): string[] {
+	function pickDistantPeer(): string[] {
 		const {distant} = peers();
 		return distant.length === 0 ? [] : [distant[Math.floor(random() * distant.length)]];
 	}
 
 	async function loadFromStore(record: VersionRecord): Promise<void> {
 		const loaded = await loader.load(record, held.version === 0 ? undefined : held);
-		takeOver(loaded.version, loaded.set, loaded.fromVersion, loaded.delta);
-		noteFreshness();
+		activate(loaded.version, loaded.set, loaded.fromVersion, loaded.delta);
+		updateFreshness();
 	}
 
-	function refuse(version: number, error: unknown): void {
+	function reportRefused(version: number, error: unknown): void {
 		if (!(error instanceof LayerError)) {
 			throw error;
 		}
@@ -183,11 +185,11 @@
 	}
 
 	async function poll(): Promise<void> {
-		const askedAtMs = performance.now();
+		const pollStartedAt = performance.now();
 		try {
 			const head = await loader.readHead();
-			// The answer may be as old as the question: age counts from there.
-			learn(head?.record.version ?? 0, performance.now() - askedAtMs);
+			// The table may have read the row right after the request was sent, so age counts from that moment.
+			observeHead(head?.record.version ?? 0, performance.now() - pollStartedAt);
 			if (head !== undefined && head.record.version > held.version) {
 				await loadFromStore(head.record);
 			}
@@ -195,21 +197,21 @@
 			schedule.succeeded();
 		} catch (error) {
 			schedule.failed();
-			refuse(knowledge.newest().version, error);
+			reportRefused(headTracker.newest().version, error);
 		} finally {
-			// Also when the store is away: a peer back from a cut must hear what it missed.
+			// Also when the store is unreachable: a peer that rejoins after a partition must learn which versions it missed.
 			announceTo(peers().nearby);
-			announceTo(pickDistant());
+			announceTo(pickDistantPeer());
 			polling = undefined;
 		}
 	}
 
-	/** A daemon that has just started asks one peer after another, so that it need not wait for a poll of theirs. */
-	function askPeer(): void {
+	/** A daemon that has just started queries random peers one at a time instead of waiting for their next announcement. */
+	function requestFromRandomPeer(): void {
 		const {nearby, distant} = peers();
 		const candidates = [...nearby, ...distant];
 		if (candidates.length > 0) {
-			askedAt = performance.now();
+			requestedAt = performance.now();
 			requestFrom(candidates[Math.floor(random() * candidates.length)]);
 		}
 	}
@@ -220,31 +222,31 @@
 
 	function tick(): void {
 		const now = performance.now();
-		if (knowledge.newest().ageMs === Infinity && now - askedAt > pollMs) {
-			askPeer();
+		if (headTracker.newest().ageMs === Infinity && now - requestedAt > pollMs) {
+			requestFromRandomPeer();
 		}
 
-		// A peer that was asked and did not answer: the store is asked instead.
-		const unanswered = knowledge.newest().version > held.version && now - askedAt > pollMs * 2;
-		if (polling === undefined && schedule.isDue(knowledge.newest().ageMs, unanswered)) {
+		// The queried peer did not answer in time: load from the store instead.
+		const unanswered = headTracker.newest().version > held.version && now - requestedAt > pollMs * 2;
+		if (polling === undefined && schedule.isDue(headTracker.newest().ageMs, unanswered)) {
 			polling = poll();
 		}
 	}
 
 	const handlers: PeerHandlers = {
 		configurationHead(origin, head) {
-			const before = knowledge.newest();
+			const before = headTracker.newest();
 			const version = Number(head.version);
-			learn(version, decodeAge(head.ageMs));
-			if (version > held.version && performance.now() - askedAt > pollMs) {
-				askedAt = performance.now();
+			observeHead(version, decodeAge(head.ageMs));
+			if (version > held.version && performance.now() - requestedAt > pollMs) {
+				requestedAt = performance.now();
 				requestFrom(origin.name);
 			}
 
-			const after = knowledge.newest();
-			const gained = after.version > before.version || before.ageMs - after.ageMs > relayGainMs;
+			const after = headTracker.newest();
+			const isFresher = after.version > before.version || before.ageMs - after.ageMs > minRelayGainMs;
 			const {nearby} = peers();
-			if (gained && !nearby.includes(origin.name)) {
+			if (isFresher && !nearby.includes(origin.name)) {
 				announceTo(nearby);
 			}
 		},
@@ -255,22 +257,22 @@
 			}
 		},
 		configurationSections(_origin, part) {
-			takePart(part);
+			receivePart(part);
 		},
 	};
 
-	function takePart(part: ConfigurationSections): void {
+	function receivePart(part: ConfigurationSections): void {
 		try {
 			const assembled = assembly.add(part, held);
 			if (assembled === undefined) {
 				return;
 			}
 
-			takeOver(assembled.version, assembled.set, assembled.fromVersion, assembled.delta);
-			// Sections say nothing of freshness: they may have waited long in a queue.
-			noteFreshness();
+			activate(assembled.version, assembled.set, assembled.fromVersion, assembled.delta);
+			// Sections are no proof of freshness, since they may have been queued for long; only observed heads count.
+			updateFreshness();
 		} catch (error) {
-			refuse(Number(part.version), error);
+			reportRefused(Number(part.version), error);
 		}
 	}
 
@@ -293,9 +295,9 @@
 				return true;
 			}
 
-			// A daemon back from a cut may hear a majority before it hears what it missed.
+			// After a partition heals, heartbeats from a majority may arrive before the versions that this daemon missed.
 			const {heard, listed, newestVersion = 0} = options.reach();
-			const isNewest = Math.max(knowledge.newest().version, newestVersion) === held.version;
+			const isNewest = Math.max(headTracker.newest().version, newestVersion) === held.version;
 			return isNewest && heard * 2 > listed;
 		},
 		async refresh() {
@@ -305,7 +307,7 @@
 		},
 		held: () => held.version === 0 ? undefined : held,
 		adopt(version, set) {
-			takeOver(version, set, 0, wholeDelta(set));
+			activate(version, set, 0, wholeDelta(set));
 		},
 		handlers,
 		start() {
--- a/packages/router/src/lib/configuration/configuration-loader.ts
+++ b/packages/router/src/lib/configuration/configuration-loader.ts
@@ -1,4 +1,4 @@
-/** Loads versions from the platform: small changes first, the whole if need be. */
+/** Loads versions from the platform, by deltas where possible and from a full base otherwise. */
 import {type Platform} from '../platform/platform.js';
 import {
 	decodeDelta, headKey, historyKey, historyPrefix, objectName, parseVersionRecord, type VersionRecord,
@@ -8,11 +8,11 @@
 	applyDelta, emptySectionSet, mergeDeltas, type SectionDelta, type SectionSet,
 } from './section-set.js';
 
-/** A version with its sections and what led to it. */
+/** A version with its sections and the delta that was applied to get there. */
 export type LoadedConfiguration = {
 	version: number;
 	set: SectionSet;
-	/** The delta from the version before it, and that version. */
+	/** The version that `delta` starts from; 0 when it holds all sections. */
 	fromVersion: number;
 	delta: SectionDelta;
 };
@@ -29,28 +29,28 @@
 	platform: Pick<Platform, 'table' | 'objects'>;
 };
 
-/** A set that is held already, to start from. */
+/** A version with its sections, as a daemon has it in memory. */
 export type HeldConfiguration = {
 	version: number;
 	set: SectionSet;
 };
 
-/** Reads what proposals wrote. Every method throws `PlatformUnavailableError`. */
+/** Reads accepted versions. Every method throws `PlatformUnavailableError` when the platform is unreachable. */
 export type ConfigurationLoader = {
 	/** `undefined` before the first version. */
 	readHead: () => Promise<StoredHead | undefined>;
-	/** The record of one version; `undefined` when it is not kept or never was. */
+	/** The record of one version; `undefined` when it is no longer kept or never existed. */
 	readRecord: (version: number) => Promise<VersionRecord | undefined>;
 	/** Records after `version`, oldest first, at most `limit`. */
 	listRecords: (version: number, limit: number) => Promise<VersionRecord[]>;
-	/** Loads the version of a record, starting from what is held where that is nearer. */
+	/** Loads the version of a record, starting from `held` unless that is too far behind, else from the base. */
 	load: (record: VersionRecord, held?: HeldConfiguration) => Promise<LoadedConfiguration>;
 };
 
-/** A daemon that is further behind than this loads the whole instead. */
-const longestDeltaChain = 64;
+/** Number of versions behind beyond which a daemon loads the full base instead. */
+const maxDeltaChainLength = 64;
 
-/** Creates the reading side of the configuration. */
+/** Creates a loader of accepted versions. */
 export function createConfigurationLoader(options: ConfigurationLoaderOptions): ConfigurationLoader {
 	const {table, objects} = options.platform;
 
@@ -68,7 +68,7 @@
 		return rows.map(row => parseVersionRecord(row.value));
 	}
 
-	/** Deltas from after `version` up to the record's. */
+	/** Fetches the deltas after `version` up to and including the version of `record`. */
 	async function fetchChain(version: number, record: VersionRecord): Promise<SectionDelta[]> {
 		const deltas: SectionDelta[] = [];
 		const length = record.version - version;
@@ -79,7 +79,7 @@
 		const records = length === 1 ? [record] : await listRecords(version, length);
 		for (const step of records) {
 			if (step.version !== version + deltas.length + 1) {
-				throw new SectionCorruptError(`The history of version ${record.version} has a hole after version ${version + deltas.length}.`);
+				throw new SectionCorruptError(`The history of version ${record.version} lacks the record after version ${version + deltas.length}.`);
 			}
 
 			deltas.push(await fetchDelta(step.delta));
@@ -99,8 +99,8 @@
 		},
 		listRecords,
 		async load(record, held) {
-			const near = held !== undefined && held.version <= record.version && record.version - held.version <= longestDeltaChain;
-			if (near) {
+			const isHeldCloseEnough = held !== undefined && held.version <= record.version && record.version - held.version <= maxDeltaChainLength;
+			if (isHeldCloseEnough) {
 				const delta = mergeDeltas(await fetchChain(held.version, record));
 				const set = applyDelta(held.set, delta, record.root);
 				return {
--- a/packages/router/src/lib/configuration/configuration-records.ts
+++ b/packages/router/src/lib/configuration/configuration-records.ts
@@ -1,11 +1,11 @@
 /**
- * What the configuration keeps in the platform's services. Objects are named
- * by their SHA-256 and written before the table refers to them; the head and
- * the history row of a version are written in one transaction.
+ * Rows and objects of the configuration in the platform's services. Objects are
+ * named by their SHA-256 and written before the table refers to them; the head
+ * and the history row of a version are written in one transaction.
  *
- * - table `configuration/head`: the accepted version ({@link HeadRecord}).
- * - table `configuration/history/VERSION`: one row for each version.
- * - object `configuration/DIGEST`: a {@link DeltaRecord}.
+ * - table `configuration/head`: the accepted version ({@link VersionRecord}).
+ * - table `configuration/history/VERSION`: one {@link VersionRecord} for each version.
+ * - object `configuration/DIGEST`: a {@link SectionDelta} as JSON.
  */
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
@@ -13,15 +13,15 @@
 import {SectionCorruptError} from './configuration-errors.js';
 import {type SectionDelta} from './section-set.js';
 
-/** Key of the one row that arbitrates between proposals. */
+/** Key of the row whose conditional write decides between concurrent proposals. */
 export const headKey = 'configuration/head';
 
-/** Prefix of the rows that tell who changed what. */
+/** Prefix of the history rows, which record who changed what. */
 export const historyPrefix = 'configuration/history/';
 
 const versionDigits = 12;
 
-/** Key of a version's history row; rows are listed in the order of versions. */
+/** Key of a version's history row, zero-padded so that rows list in the order of versions. */
 export function historyKey(version: number): string {
 	return `${historyPrefix}${String(version).padStart(versionDigits, '0')}`;
 }
@@ -30,19 +30,19 @@
 	version: z.number().int().positive(),
 	/** Digest of all sections of the version. */
 	root: z.string(),
-	/** Object with what changed since the version before. */
+	/** Digest of the object with the changes since the previous version. */
 	delta: z.string(),
-	/** The newest version, up to this one, of which the whole is stored. */
+	/** The newest version, up to this one, whose full document is stored. */
 	baseVersion: z.number().int().positive(),
-	/** Object with all sections of the base version. */
+	/** Digest of the object with all sections of the base version. */
 	base: z.string(),
-	/** Names the writer's attempt, so that a lost answer can be settled. */
+	/** Identifies the write attempt, so that its outcome can be determined after a lost answer. */
 	token: z.string(),
-	/** Who asked for the change. */
+	/** Operator who requested the change. */
 	who: z.string(),
-	/** When, in milliseconds of the epoch by the proposing daemon's clock. */
+	/** Time of the change in milliseconds since the epoch, by the proposing daemon's clock. */
 	at: z.number(),
-	/** Names of some changed sections, for people. */
+	/** Names of the first changed sections, for display. */
 	sections: z.array(z.string()),
 });
 
@@ -51,22 +51,22 @@
 	removed: z.array(z.string()),
 });
 
-/** One accepted version, as its history row says; the head is the newest. */
+/** One accepted version, as its history row stores it; the head row holds the newest. */
 export type VersionRecord = z.infer<typeof versionRecordSchema>;
 
-/** Reads a head or history row. */
+/** Parses the value of a head or history row. */
 export function parseVersionRecord(value: string): VersionRecord {
 	return versionRecordSchema.parse(JSON.parse(value));
 }
 
-/** A delta as an object, with its name. */
+/** An encoded delta with its object name. */
 export type DeltaObject = {
 	digest: string;
 	name: string;
 	content: Uint8Array;
 };
 
-/** Encodes a delta as an object that is named by its content. */
+/** Encodes a delta as an object whose name is derived from its content. */
 export function encodeDelta(delta: SectionDelta): DeltaObject {
 	const content = Buffer.from(JSON.stringify({
 		changed: Object.fromEntries(delta.changed),
@@ -79,7 +79,7 @@
 /**
  * Decodes a delta object.
  *
- * @throws {SectionCorruptError} when the content is not what its name says.
+ * @throws {SectionCorruptError} when the content does not match the digest.
  */
 export function decodeDelta(digest: string, content: Uint8Array): SectionDelta {
 	if (digestOf(content) !== digest) {
@@ -90,7 +90,7 @@
 	return {changed: new Map(Object.entries(record.changed)), removed: record.removed};
 }
 
-/** Name of the object with this digest. */
+/** Returns the name of the object with this digest. */
 export function objectName(digest: string): string {
 	return `configuration/${digest}`;
 }
--- a/packages/router/src/lib/configuration/configuration-store.ts
+++ b/packages/router/src/lib/configuration/configuration-store.ts
@@ -1,7 +1,7 @@
 /**
- * Accepts changes. One small row in the table, written by compare-and-set,
- * decides between racing operators; what it refers to is written before it.
- * Nothing accepted is ever withdrawn, only superseded.
+ * Accepts changes. The head row in the table is written by compare-and-set and
+ * decides between concurrent operators; the objects that it refers to are
+ * written before it. An accepted version is never revoked, only superseded.
  */
 import {randomUUID} from 'node:crypto';
 import {PlatformUnavailableError} from '../platform/platform-errors.js';
@@ -22,64 +22,64 @@
 	applyDelta, deltaTo, emptySectionSet, type SectionSet, wholeDelta,
 } from './section-set.js';
 
-/** How many of the listed daemons this one hears, itself included. */
+/** How many of the listed daemons this one receives heartbeats from, itself included. */
 export type Reach = {
 	heard: number;
 	listed: number;
-	/** The highest version that one of them said to have in force; 0 when it isn't known. */
+	/** The highest version that any of them reported to be in force; 0 when unknown. */
 	newestVersion?: number;
 };
 
 /** Options of {@link createConfigurationStore}. */
 export type ConfigurationStoreOptions = {
 	platform: Pick<Platform, 'table' | 'objects'>;
-	/** A change is refused unless this daemon hears more than half; absent, it is not asked. */
+	/** A change is refused unless this daemon receives heartbeats from more than half; not checked when absent. */
 	reach?: () => Reach;
-	/** The oldest layout that some daemon in service knows; this build's own by default. */
+	/** The lowest of the newest layouts that the daemons in service support; this build's own by default. */
 	oldestLayout?: () => number;
-	/** Makes the token of an attempt; random by default. */
+	/** Creates the token of an attempt; random by default. */
 	createToken?: () => string;
-	/** The whole document is stored with every so many versions; 16 by default. */
+	/** Number of versions after which the full document is stored again; 16 by default. */
 	versionsPerBase?: number;
-	/** History rows kept; 10,000 by default. */
+	/** Number of history rows kept; 10,000 by default. */
 	versionsKept?: number;
 };
 
-/** How to propose a change. */
+/** Options of {@link ConfigurationStore.propose}. */
 export type ProposalOptions = {
-	/** The version that the document was made from; 0 for the first. */
+	/** The version that the document is based on; 0 for the first. */
 	expectedVersion: number;
-	/** Who asks, for the history. */
+	/** Operator who requests the change, for the history. */
 	who: string;
 };
 
 /** Writes and reads accepted versions. */
 export type ConfigurationStore = ConfigurationLoader & {
 	/**
-	 * Accepts a document as the next version. Accepted means written, not yet
-	 * in force everywhere: see `summariseConfirmations`.
+	 * Accepts a document as the next version. Accepted means durably written, not
+	 * yet in force on every daemon: see `summariseConfirmations`.
 	 *
-	 * @throws {DocumentInvalidError} when the document does not hold together.
-	 * @throws {DocumentTooNewError} when some daemon does not know its layout.
-	 * @throws {ConfigurationConflictError} when another change came first.
-	 * @throws {ConfigurationMinorityError} when this daemon is cut off.
-	 * @throws {ConfigurationUnavailableError} when nothing was written.
-	 * @throws {ConfigurationOutcomeUnknownError} when the answer was lost for good.
+	 * @throws {DocumentInvalidError} when the document is invalid.
+	 * @throws {DocumentTooNewError} when some daemon does not support its layout.
+	 * @throws {ConfigurationConflictError} when another change was accepted first.
+	 * @throws {ConfigurationMinorityError} when this daemon receives heartbeats from no majority.
+	 * @throws {ConfigurationUnavailableError} when the platform is unreachable and nothing was accepted.
+	 * @throws {ConfigurationOutcomeUnknownError} when the answer to the write was lost and the outcome could not be determined.
 	 */
 	propose: (document: unknown, options: ProposalOptions) => Promise<AcceptedDocument>;
 	/** The accepted document; `undefined` before the first. */
 	read: () => Promise<AcceptedDocument | undefined>;
 	/**
-	 * What became of an attempt whose answer was lost. `unknown` means that the
-	 * version does not exist yet, so that a late write may still make it.
+	 * Returns the outcome of an attempt whose answer was lost. `unknown` means that
+	 * the version does not exist yet, so that a delayed write may still create it.
 	 */
 	outcomeOf: (version: number, token: string) => Promise<'accepted' | 'refused' | 'unknown'>;
 };
 
 const defaultVersionsPerBase = 16;
 const defaultVersionsKept = 10_000;
-const settleAttempts = 4;
-const longestSectionList = 20;
+const maxCommitAttempts = 4;
+const maxListedSections = 20;
 
 /**
  * Creates the store of accepted configurations.
@@ -94,22 +94,22 @@
 	const createToken = options.createToken ?? randomUUID;
 	const versionsPerBase = options.versionsPerBase ?? defaultVersionsPerBase;
 	const versionsKept = options.versionsKept ?? defaultVersionsKept;
-	let newest: HeldConfiguration = {version: 0, set: emptySectionSet};
+	let newestLoaded: HeldConfiguration = {version: 0, set: emptySectionSet};
 
 	async function loadSet(record: VersionRecord | undefined): Promise<SectionSet> {
 		if (record === undefined) {
 			return emptySectionSet;
 		}
 
-		const {version, set} = await loader.load(record, newest.version === 0 ? undefined : newest);
-		if (version > newest.version) {
-			newest = {version, set};
+		const {version, set} = await loader.load(record, newestLoaded.version === 0 ? undefined : newestLoaded);
+		if (version > newestLoaded.version) {
+			newestLoaded = {version, set};
 		}
 
 		return set;
 	}
 
-	async function conflict(document: FleetDocument, expectedVersion: number, head: VersionRecord | undefined): Promise<ConfigurationConflictError> {
+	async function createConflictError(document: FleetDocument, expectedVersion: number, head: VersionRecord | undefined): Promise<ConfigurationConflictError> {
 		const current = await loadSet(head);
 		const theirs = await changesSince(expectedVersion, current);
 		return new ConfigurationConflictError(expectedVersion, head?.version ?? 0, theirs, differenceOf(current.document, document));
@@ -125,7 +125,7 @@
 		return differenceOf(before.set.document, current.document);
 	}
 
-	/** Writes what the next version refers to, and describes it. */
+	/** Writes the objects of the next version and returns its record. */
 	async function prepare(document: FleetDocument, head: StoredHead | undefined, who: string): Promise<VersionRecord> {
 		const before = await loadSet(head?.record);
 		const delta = deltaTo(before, document);
@@ -142,7 +142,7 @@
 			token: createToken(),
 			who,
 			at: Date.now(),
-			sections: [...delta.changed.keys(), ...delta.removed].slice(0, longestSectionList),
+			sections: [...delta.changed.keys(), ...delta.removed].slice(0, maxListedSections),
 		};
 	}
 
@@ -151,31 +151,32 @@
 			return {base: head.base, baseVersion: head.baseVersion};
 		}
 
-		const whole = encodeDelta(wholeDelta(set));
-		await objects.put(whole.name, whole.content, {ifAbsent: true});
-		return {base: whole.digest, baseVersion: version};
+		const baseObject = encodeDelta(wholeDelta(set));
+		await objects.put(baseObject.name, baseObject.content, {ifAbsent: true});
+		return {base: baseObject.digest, baseVersion: version};
 	}
 
 	async function write(record: VersionRecord, rowVersion: number): Promise<TransactionResult> {
 		const value = JSON.stringify(record);
-		const pruned = record.version - versionsKept;
+		const prunedVersion = record.version - versionsKept;
 		return table.transact([
 			{key: headKey, value, ifVersion: rowVersion},
 			{key: historyKey(record.version), value},
-			...(pruned > 0 ? [{key: historyKey(pruned), value: null}] : []),
+			...(prunedVersion > 0 ? [{key: historyKey(prunedVersion), value: null}] : []),
 		]);
 	}
 
 	/**
-	 * Writes the head, and settles a lost answer. The write is conditional on
-	 * the head's row, so that of all attempts with this token at most one takes
-	 * effect; writing again either commits or finds the row moved on, and then
-	 * the version's history row says by whose token.
+	 * Writes the head and resolves a lost answer by retrying. The write is
+	 * conditional on the version of the head row, so that of all attempts with this
+	 * token at most one takes effect: a retry either commits or finds that the row
+	 * has changed, and then the token in the version's history row shows whose
+	 * write succeeded.
 	 */
 	async function commit(record: VersionRecord, rowVersion: number): Promise<'accepted' | 'refused'> {
 		let lastError: unknown;
 		let answerLost = false;
-		for (let attempt = 0; attempt < settleAttempts; attempt++) {
+		for (let attempt = 0; attempt < maxCommitAttempts; attempt++) {
 			try {
 				const result = await write(record, rowVersion);
 				if (result.committed) {
@@ -210,7 +211,7 @@
 		return record.token === token ? 'accepted' : 'refused';
 	}
 
-	function check(input: unknown): FleetDocument {
+	function checkProposal(input: unknown): FleetDocument {
 		const document = parseDocument(input);
 		const oldest = options.oldestLayout?.() ?? documentLayout;
 		if (document.layout > oldest) {
@@ -228,7 +229,7 @@
 	async function propose(document: FleetDocument, {expectedVersion, who}: ProposalOptions): Promise<AcceptedDocument> {
 		const head = await loader.readHead();
 		if ((head?.record.version ?? 0) !== expectedVersion) {
-			throw await conflict(document, expectedVersion, head?.record);
+			throw await createConflictError(document, expectedVersion, head?.record);
 		}
 
 		const record = await prepare(document, head, who);
@@ -237,14 +238,14 @@
 		}
 
 		const current = await loader.readHead();
-		throw await conflict(document, expectedVersion, current?.record);
+		throw await createConflictError(document, expectedVersion, current?.record);
 	}
 
 	return {
 		...loader,
 		outcomeOf,
 		async propose(input, proposal) {
-			const document = check(input);
+			const document = checkProposal(input);
 			try {
 				return await propose(document, proposal);
 			} catch (error) {
@@ -252,7 +253,7 @@
 					throw error;
 				}
 
-				// Every write that decides is settled by `commit`; what fails outside it left no version behind.
+				// `commit` resolves the write that decides; a failure outside of it has created no version.
 				throw new ConfigurationUnavailableError('The platform could not be reached. This change was not accepted; try again.', {cause: error});
 			}
 		},
--- a/packages/router/src/lib/configuration/confirmations.ts
+++ b/packages/router/src/lib/configuration/confirmations.ts
@@ -1,29 +1,29 @@
 /**
- * Where a version is in force, for the operator's answer. A daemon counts once
- * it has confirmed the version in its heartbeats. One that stays silent counts
- * as stopped only after the bound by which it has stopped serving keys.
+ * Summarises for the operator on which daemons a version is in force. A daemon
+ * counts once its heartbeats confirm the version. A silent daemon counts as
+ * stopped only after the time by which it has surely stopped accepting keys.
  */
 
-/** What is known of one listed daemon. */
+/** The last known state of one listed daemon. */
 export type DaemonConfirmation = {
 	/** Name of its VM. */
 	vm: string;
-	/** Version that it last said it has in force; 0 when it said nothing. */
+	/** Version that it last reported to be in force; 0 when it has reported none. */
 	version: number;
-	/** Milliseconds since it was last heard of; `Infinity` when never. */
+	/** Milliseconds since its last heartbeat; `Infinity` when there was none. */
 	silentMs: number;
 };
 
-/** The operator's answer. */
+/** The summary that the operator receives. */
 export type InForceSummary = {
 	version: number;
-	/** Whether no daemon serves by an older version any more. */
+	/** Whether no daemon accepts keys by an older version any more. */
 	complete: boolean;
 	inForce: number;
 	listed: number;
-	/** VMs that serve by an older version, or may. */
+	/** VMs that accept keys by an older version, or may. */
 	waitingFor: string[];
-	/** VMs that are silent for longer than they may serve. */
+	/** VMs that have been silent for longer than they may go on serving. */
 	stopped: string[];
 	/** Such as `committed, in force on 8 of 9, waiting for vm-3`. */
 	text: string;
@@ -33,24 +33,24 @@
 export type ConfirmationOptions = {
 	version: number;
 	daemons: Iterable<DaemonConfirmation>;
-	/** Milliseconds of silence after which a daemon serves no keys: its isolation limit and the lag of what it heard, see {@link silenceBoundMs}. */
+	/** Milliseconds of silence after which a daemon accepts no keys: its isolation limit plus the propagation lag, see {@link silenceBoundMs}. */
 	silentLimitMs: number;
 };
 
 /**
- * Milliseconds by which a daemon that was cut off may stop later than its
- * isolation limit: news that had crossed before the cut is passed on behind it
- * for up to 14 hops of a second, a link may hold a message for up to 4.5 s, and
- * a counter from another data centre is heard up to 5 s after it was sent.
+ * Milliseconds by which a partitioned daemon may stop later than its isolation
+ * limit: a head that crossed before the partition is relayed behind it over up
+ * to 14 hops of 1 s, a link may delay a message by up to 4.5 s, and a counter
+ * from another data centre arrives up to 5 s after it was sent.
  */
-const knowledgeLagMs = 20_000;
+const propagationLagMs = 20_000;
 
-/** The silence after which a daemon surely serves no keys by an old version. */
+/** Returns the milliseconds of silence after which a daemon surely accepts no keys by an old version. */
 export function silenceBoundMs(isolationLimitMs: number): number {
-	return isolationLimitMs + knowledgeLagMs;
+	return isolationLimitMs + propagationLagMs;
 }
 
-/** Tells where a version is in force. */
+/** Summarises on which daemons a version is in force. */
 export function summariseConfirmations(options: ConfirmationOptions): InForceSummary {
 	const {version, silentLimitMs} = options;
 	const waitingFor: string[] = [];
@@ -68,7 +68,7 @@
 		}
 	}
 
-	// Silent daemons that hear a majority among themselves serve on, so that a silent half proves nothing.
+	// Silent daemons that form a majority among themselves go on serving, so a silent half can't be counted as stopped.
 	if (stopped.length * 2 >= listed) {
 		waitingFor.push(...stopped.splice(0));
 	}
--- a/packages/router/src/lib/configuration/document-difference.ts
+++ b/packages/router/src/lib/configuration/document-difference.ts
@@ -1,22 +1,22 @@
 /**
- * What differs between two documents, by path, in a form that an operator can
- * read. List items that have a name or an id are matched by it, so that one
- * new workspace does not show as a change of all that follow.
+ * Lists the differences between two documents by path, for operators. List
+ * items that have a name or an id are matched by it, so that inserting one
+ * workspace does not show as a change of all that follow.
  */
 
-/** One place where two documents differ. */
+/** One difference between two documents. */
 export type DocumentChange = {
-	/** Such as `workspaces[school-1].tokensPerSecond`. */
+	/** Path of the field, such as `workspaces[school-1].tokensPerSecond`. */
 	path: string;
-	/** Absent when the place is new. */
+	/** Absent when the field was added. */
 	before?: unknown;
-	/** Absent when the place is gone. */
+	/** Absent when the field was removed. */
 	after?: unknown;
 };
 
 type Fields = Record<string, unknown>;
 
-/** Lists the places where `after` differs from `before`. */
+/** Lists the differences of `after` from `before`. */
 export function differenceOf(before: unknown, after: unknown): DocumentChange[] {
 	const changes: DocumentChange[] = [];
 	compare(before, after, '', changes);
@@ -31,7 +31,7 @@
 	const fieldsBefore = fieldsOf(before);
 	const fieldsAfter = fieldsOf(after);
 	if (fieldsBefore === undefined || fieldsAfter === undefined) {
-		compareWhole(before, after, path, changes);
+		compareValues(before, after, path, changes);
 		return;
 	}
 
@@ -41,7 +41,7 @@
 	}
 }
 
-function compareWhole(before: unknown, after: unknown, path: string, changes: DocumentChange[]): void {
+function compareValues(before: unknown, after: unknown, path: string, changes: DocumentChange[]): void {
 	if (JSON.stringify(before) === JSON.stringify(after)) {
 		return;
 	}
@@ -53,7 +53,7 @@
 	});
 }
 
-/** The fields of an object, or the items of a list of named things by name. */
+/** Returns the fields of an object, or the items of a list by their name or id; `undefined` for any other value. */
 function fieldsOf(value: unknown): Fields | undefined {
 	if (typeof value !== 'object' || value === null) {
 		return undefined;
--- a/packages/router/src/lib/configuration/document-index.ts
+++ b/packages/router/src/lib/configuration/document-index.ts
@@ -1,9 +1,9 @@
-/** Looks things of a document up by name, at a cost that does not grow with the fleet. */
+/** Looks up services and endpoints of a document in time that does not grow with the fleet. */
 import {
 	type AcceptedDocument, type Endpoint, type ModelService, type PlainService, type Service,
 } from './document.js';
 
-/** A document with its indexes, built once for each version. */
+/** Indexes of a document, built once for each version. */
 export type DocumentIndex = {
 	accepted: AcceptedDocument;
 	endpoint: (name: string) => Endpoint | undefined;
@@ -47,7 +47,7 @@
 }
 
 /**
- * Keeps the index of the version in force; asked as often as one likes.
+ * Returns a function that gives the index of the version in force and rebuilds it only when the version changes.
  *
  * @example
  * const index = createCurrentIndex(follower.current);
--- a/packages/router/src/lib/configuration/document.ts
+++ b/packages/router/src/lib/configuration/document.ts
@@ -1,18 +1,19 @@
 /**
- * The one validated document that describes a fleet. Nothing else changes it.
- * Types are inferred from the schemas, and field paths in errors come from them.
+ * Schemas of the document that describes a fleet and is the only place to change
+ * it. Types are inferred from the schemas, which also determine the field paths
+ * in errors.
  */
 import {z} from 'zod';
 
-/** The newest layout of the document that this build understands. */
+/** The newest layout of the document that this build supports. */
 export const documentLayout = 1;
 
-const longestName = 64;
+const maxNameLength = 64;
 
-/** A name that is fit for table keys, metric tags and paths. */
-const name = z.string().max(longestName).regex(/^[a-z\d](?:[a-z\d.\-]*[a-z\d])?$/v, 'use lower-case letters, digits, dots and hyphens');
+/** A name that is valid in table keys, metric tags and URL paths. */
+const name = z.string().max(maxNameLength).regex(/^[a-z\d](?:[a-z\d.\-]*[a-z\d])?$/v, 'use lower-case letters, digits, dots and hyphens');
 
-/** SHA-256 of a key, in hexadecimal. The key itself is kept nowhere. */
+/** SHA-256 of a key, in hexadecimal. The key itself is never stored. */
 const digest = z.string().regex(/^[\da-f]{64}$/v, 'use the SHA-256 of the key in hexadecimal');
 
 const dataCentreSchema = z.strictObject({
@@ -79,7 +80,7 @@
 	checksFencing: z.boolean().default(false).describe('Whether the endpoint refuses an order with an old fencing number.'),
 });
 
-/** The layout of the document. Cross references are checked by {@link parseDocument}. */
+/** Schema of the document. References between its parts are checked by {@link parseDocument}. */
 export const documentSchema = z.strictObject({
 	layout: z.number().int().positive().describe('Layout of this document; a build refuses one newer than it knows.'),
 	dataCentres: z.array(dataCentreSchema),
@@ -88,10 +89,10 @@
 	endpoints: z.array(endpointSchema),
 });
 
-/** The fields of a document that belong to no list of named things. */
+/** The fields of a document that are not lists of named items with sections of their own. */
 export const fleetSchema = documentSchema.pick({layout: true, dataCentres: true});
 
-/** A whole, checked document. */
+/** A complete, validated document. */
 export type FleetDocument = z.infer<typeof documentSchema>;
 export type DataCentre = z.infer<typeof dataCentreSchema>;
 export type Workspace = z.infer<typeof workspaceSchema>;
--- a/packages/router/src/lib/configuration/key-ring.ts
+++ b/packages/router/src/lib/configuration/key-ring.ts
@@ -1,37 +1,37 @@
 /**
- * Tells whose key a caller presents. Only digests are held. The ring is built
- * anew for each version and swapped at once, so that a withdrawn key fails for
- * the next request, also on a connection that was open before.
+ * Authenticates callers by their keys, of which only digests are stored. The
+ * index of keys is rebuilt for each version and replaced atomically, so that a
+ * withdrawn key fails on the next request, also on a connection opened before.
  */
 import {type Buffer} from 'node:buffer';
 import {createHash, randomBytes, timingSafeEqual} from 'node:crypto';
 import {type AcceptedDocument, type Workspace} from './document.js';
 
-/** Whose request it is, as its key said. */
+/** The workspace and key that a request was authenticated with. */
 export type Caller = {
 	workspace: Workspace;
-	/** Public name of the key; the key itself is kept nowhere. */
+	/** Public name of the key; the key itself is never stored. */
 	keyId: string;
 };
 
-/** Tells whose key it is. */
+/** Authenticates keys. */
 export type KeyRing = {
 	/**
-	 * Called for every request anew, also on a connection that was open before
-	 * the key was withdrawn. `undefined` when no workspace has this key now.
+	 * Must be called for every request, since a key may be withdrawn while a
+	 * connection is open. `undefined` when no workspace has this key now.
 	 */
 	authenticate: (key: string) => Caller | undefined;
 };
 
 /** Options of {@link createKeyRing}. */
 export type KeyRingOptions = {
-	/** The version in force; asked for at every request. */
+	/** The version in force; read at every request. */
 	current: () => AcceptedDocument | undefined;
-	/** Whether keys may be taken by it; a daemon that is cut off must not. */
+	/** Whether keys may be authenticated by it; `false` on an isolated daemon. */
 	mayServe: () => boolean;
 };
 
-/** A key that was made just now. The key is shown once and kept nowhere. */
+/** A newly issued key. The key is shown once and never stored. */
 export type IssuedKey = {
 	key: string;
 	/** For the document. */
@@ -42,14 +42,14 @@
 
 const keyBytes = 32;
 
-/** Makes a random key of 256 bits and its digest. */
+/** Issues a random 256-bit key with its digest. */
 export function issueKey(): IssuedKey {
 	const key = `hw-${randomBytes(keyBytes).toString('base64url')}`;
 	return {key, digest: digestOf(key).toString('hex')};
 }
 
 /**
- * Creates the ring over the version in force.
+ * Creates the key ring of the version in force.
  *
  * @example
  * const keyRing = createKeyRing(follower);
@@ -66,13 +66,13 @@
 			}
 
 			if (accepted !== builtFrom) {
-				entries = index(accepted);
+				entries = indexKeys(accepted);
 				builtFrom = accepted;
 			}
 
-			// The index is by digest: what its timing tells is about the digest of
-			// a guess, from which no key can be told that comes nearer. Comparing
-			// in constant time keeps the last step from telling more.
+			// The lookup is by digest, so its timing reveals something about the digest
+			// of a guess only, which does not help to find a closer key. The final
+			// comparison takes constant time so that it reveals nothing more.
 			const digest = digestOf(key);
 			const entry = entries.get(digest.toString('hex'));
 			return entry !== undefined && timingSafeEqual(entry.digest, digest) ? entry.caller : undefined;
@@ -84,7 +84,7 @@
 	return createHash('sha256').update(key).digest();
 }
 
-function index(accepted: AcceptedDocument): Map<string, RingEntry> {
+function indexKeys(accepted: AcceptedDocument): Map<string, RingEntry> {
 	const entries = new Map<string, RingEntry>();
 	for (const workspace of accepted.document.workspaces) {
 		for (const key of workspace.keys) {
--- a/packages/router/src/lib/configuration/parse-document.ts
+++ b/packages/router/src/lib/configuration/parse-document.ts
@@ -1,12 +1,12 @@
-/** Checks a document: its fields first, then what they say of each other. */
+/** Validates a document: its fields first, then the references between them. */
 import {type z} from 'zod';
 import {type DocumentFault, DocumentInvalidError, DocumentTooNewError} from './configuration-errors.js';
 import {documentLayout, documentSchema, type FleetDocument} from './document.js';
 
 /**
- * Parses and checks a document.
+ * Parses and validates a document.
  *
- * @throws {DocumentTooNewError} when its layout is newer than this build.
+ * @throws {DocumentTooNewError} when its layout is newer than this build supports.
  * @throws {DocumentInvalidError} with every fault and its field.
  */
 export function parseDocument(input: unknown): FleetDocument {
@@ -21,20 +21,22 @@
 }
 
 /**
- * Checks what the fields of a document say of each other.
+ * Checks that names are unique and that references between fields resolve.
  *
  * @throws {DocumentInvalidError} with every fault and its field.
  */
 export function checkReferences(document: FleetDocument): void {
-	const faults = findCrossFaults(document);
+	const faults = findReferenceFaults(document);
 	if (faults.length > 0) {
 		throw new DocumentInvalidError(faults);
 	}
 }
 
 /**
- * A newer layout may carry meaning that this build would drop in silence, so
- * it is refused before any field is looked at.
+ * Refuses a newer layout before any field is parsed, since this build would
+ * silently drop what it does not know.
+ *
+ * @throws {DocumentTooNewError} when the layout is newer than this build supports.
  */
 export function refuseNewerLayout(input: unknown): void {
 	if (typeof input !== 'object' || input === null || !('layout' in input)) {
@@ -67,7 +69,7 @@
 
 type Named = {name: string};
 
-function findDoubles(list: readonly Named[], path: string): DocumentFault[] {
+function findDuplicates(list: readonly Named[], path: string): DocumentFault[] {
 	const seen = new Set<string>();
 	const faults: DocumentFault[] = [];
 	for (const [index, item] of list.entries()) {
@@ -81,12 +83,12 @@
 	return faults;
 }
 
-function findCrossFaults(document: FleetDocument): DocumentFault[] {
+function findReferenceFaults(document: FleetDocument): DocumentFault[] {
 	return [
-		...findDoubles(document.dataCentres, 'dataCentres'),
-		...findDoubles(document.workspaces, 'workspaces'),
-		...findDoubles(document.services, 'services'),
-		...findDoubles(document.endpoints, 'endpoints'),
+		...findDuplicates(document.dataCentres, 'dataCentres'),
+		...findDuplicates(document.workspaces, 'workspaces'),
+		...findDuplicates(document.services, 'services'),
+		...findDuplicates(document.endpoints, 'endpoints'),
 		...findWorkspaceFaults(document),
 		...findEndpointFaults(document),
 		...findServiceFaults(document),
--- a/packages/router/src/lib/configuration/poll-schedule.ts
+++ b/packages/router/src/lib/configuration/poll-schedule.ts
@@ -1,47 +1,47 @@
-/** When a daemon reads the head in the table. */
+/** Schedules a daemon's reads of the head row in the table. */
 
 /** Options of {@link createPollSchedule}. */
 export type PollScheduleOptions = {
-	/** Milliseconds between reads by the first daemons of a data centre. */
+	/** Milliseconds between reads by the first-ranked daemons of a data centre. */
 	pollMs: number;
-	/** How many daemons of a data centre read at that pace. */
+	/** How many daemons of a data centre poll at that interval. */
 	pollersPerDataCentre: number;
-	/** Place of this daemon in its data centre, from 0. */
+	/** Rank of this daemon in its data centre, from 0. */
 	rank: () => number;
-	/** Between 0 and 1. */
+	/** Random source in [0, 1). */
 	random: () => number;
 };
 
 /** The schedule of one daemon. */
 export type PollSchedule = {
-	/** The daemon has just started and waits its turn. */
+	/** Marks the start of the daemon, from which its first delay counts. */
 	start: () => void;
 	/**
 	 * Whether to read now.
 	 *
-	 * @param ageMs How old the news of the newest version is.
-	 * @param unanswered Whether a newer version is known that no peer gave.
+	 * @param ageMs Milliseconds since the newest known version was known to be the newest.
+	 * @param unanswered Whether a newer version is known and no peer has sent it in time.
 	 */
 	isDue: (ageMs: number, unanswered: boolean) => boolean;
 	succeeded: () => void;
 	failed: () => void;
 };
 
-/** Ranks beyond this wait no longer than it. */
-const longestWaitSteps = 8;
-const longestBackoff = 16;
+/** Daemons of higher groups of ranks wait as long as this group. */
+const maxRankGroup = 8;
+const maxBackoffFactor = 16;
 
-/** Creates the schedule of a daemon that has not started. */
+/** Creates the schedule of a daemon that has not started yet. */
 export function createPollSchedule(options: PollScheduleOptions): PollSchedule {
 	const {pollMs, random} = options;
 	let startedAt = 0;
 	let nextAt = 0;
 	let failures = 0;
 
-	/** The first daemons of a data centre poll at pace; each further rank only when those before it don't. */
+	/** The first group of ranks polls at the regular interval; each further group only when the groups before it have failed to. */
 	function dueAgeMs(): number {
 		const group = Math.floor(options.rank() / options.pollersPerDataCentre);
-		return pollMs * (1 + (Math.min(group, longestWaitSteps) * 2));
+		return pollMs * (1 + (Math.min(group, maxRankGroup) * 2));
 	}
 
 	return {
@@ -54,7 +54,7 @@
 				return false;
 			}
 
-			// A daemon that has just started waits its turn too, or a herd would read all at once.
+			// Daemons that have just started also wait for their rank, so that they don't all read at once (thundering herd).
 			const waitedMs = Math.min(ageMs, now - startedAt + pollMs);
 			return unanswered || waitedMs >= dueAgeMs();
 		},
@@ -64,9 +64,9 @@
 		},
 		failed() {
 			failures++;
-			// The pause varies, so that an outage ends without a rush.
-			const pause = pollMs * Math.min(longestBackoff, 2 ** failures) / 2;
-			nextAt = performance.now() + (pause * (0.5 + random()));
+			// Jitter keeps the daemons from reading all at once when an outage ends.
+			const backoffMs = pollMs * Math.min(maxBackoffFactor, 2 ** failures) / 2;
+			nextAt = performance.now() + (backoffMs * (0.5 + random()));
 		},
 	};
 }
--- a/packages/router/src/lib/configuration/section-exchange.ts
+++ b/packages/router/src/lib/configuration/section-exchange.ts
@@ -1,7 +1,7 @@
 /**
- * Changes between peers: an answer carries what changed since the asker's
- * version, in parts that are applied together, or the whole document when the
- * asker is too far behind.
+ * Exchanges sections between peers. An answer carries the changes since the
+ * requester's version, in parts that are applied together, or the full document
+ * when the requester is too far behind.
  */
 import {Buffer} from 'node:buffer';
 import {create} from '@bufbuild/protobuf';
@@ -11,26 +11,27 @@
 } from './section-set.js';
 import {type HeldConfiguration} from './configuration-loader.js';
 
-/** One step that this daemon made, kept to tell others. */
+/** One change of version of this daemon, kept to answer peers. */
 export type VersionStep = {
 	fromVersion: number;
 	version: number;
 	delta: SectionDelta;
 };
 
-/** Largest text of one part, in characters; a larger batch would hold up what waits behind it. */
-const partSize = 256 * 1024;
+/** Characters of section text per part; larger messages would delay those queued behind them. A single larger section is still one part. */
+const maxPartChars = 256 * 1024;
 
-/** How many steps a daemon keeps for peers that are behind. */
-const stepsKept = 64;
+/** Number of steps kept for peers that are behind. */
+const maxSteps = 64;
 
-/** Keeps the last steps of this daemon. */
+/** The most recent steps of this daemon. */
 export type StepHistory = {
 	add: (step: VersionStep) => void;
 	/**
-	 * What changed after `version`; `undefined` when the steps don't reach back.
-	 * It may name sections that `version` has already: a step over several
-	 * versions is kept whole, and applying a text twice does no harm.
+	 * Returns the changes after `version`; `undefined` when the steps don't reach
+	 * back that far. They may include sections that `version` has already, since
+	 * a step over several versions is not split; applying a section twice is
+	 * harmless.
 	 */
 	since: (version: number) => SectionDelta | undefined;
 };
@@ -44,13 +45,13 @@
 				steps.length = 0;
 			}
 
-			// A step from nothing would be the whole document.
+			// A step from version 0 would hold the full document.
 			if (step.fromVersion === 0) {
 				return;
 			}
 
 			steps.push(step);
-			if (steps.length > stepsKept) {
+			if (steps.length > maxSteps) {
 				steps.shift();
 			}
 		},
@@ -64,7 +65,7 @@
 	};
 }
 
-/** Answers a peer that holds `heldVersion`; empty when it holds as much. */
+/** Creates the parts of the answer to a peer at `heldVersion`; none when it is up to date. */
 export function answerRequest(heldVersion: number, held: HeldConfiguration, steps: StepHistory): ConfigurationSections[] {
 	if (heldVersion >= held.version) {
 		return [];
@@ -72,7 +73,7 @@
 
 	const delta = heldVersion === 0 ? undefined : steps.since(heldVersion);
 	const fromVersion = delta === undefined ? 0 : heldVersion;
-	const parts = cut(delta ?? wholeDelta(held.set));
+	const parts = splitDelta(delta ?? wholeDelta(held.set));
 	return parts.map((part, index) => create(ConfigurationSectionsSchema, {
 		version: BigInt(held.version),
 		fromVersion: BigInt(fromVersion),
@@ -84,12 +85,12 @@
 	}));
 }
 
-function cut(delta: SectionDelta): SectionDelta[] {
+function splitDelta(delta: SectionDelta): SectionDelta[] {
 	const parts: SectionDelta[] = [];
 	let changed = new Map<string, string>();
 	let size = 0;
 	for (const [name, json] of delta.changed) {
-		if (size > 0 && size + json.length > partSize) {
+		if (size > 0 && size + json.length > maxPartChars) {
 			parts.push({changed, removed: []});
 			changed = new Map();
 			size = 0;
@@ -102,21 +103,21 @@
 	return [...parts, {changed, removed: delta.removed}];
 }
 
-/** Puts the parts of an answer together. */
+/** Assembles the parts of an answer. */
 export type SectionAssembly = {
 	/**
-	 * Takes one part; returns the new set once all parts of its answer are here.
+	 * Adds one part; returns the new set once all parts of its answer have arrived.
 	 *
-	 * @throws {SectionCorruptError} when the sections have another digest than promised.
-	 * @throws {DocumentInvalidError} when this build does not take them.
+	 * @throws {SectionCorruptError} when the sections do not match the digest in the answer.
+	 * @throws {DocumentInvalidError} when this build does not accept them.
 	 */
 	add: (part: ConfigurationSections, held: HeldConfiguration) => AssembledConfiguration | undefined;
 };
 
-/** A set made of a peer's answer. */
+/** A set assembled from a peer's answer. */
 export type AssembledConfiguration = HeldConfiguration & VersionStep;
 
-/** Creates an assembly; it holds the parts of one answer at a time. */
+/** Creates an assembly, which holds the parts of one answer at a time. */
 export function createSectionAssembly(): SectionAssembly {
 	let key = '';
 	let parts = new Map<number, ConfigurationSections>();
@@ -157,14 +158,14 @@
 	};
 }
 
-const longestAge = 0xFF_FF_FF_FF;
+const maxEncodedAgeMs = 0xFF_FF_FF_FF;
 
-/** Encodes an age for the wire; the largest number stands for "never known". */
+/** Encodes an age in milliseconds for the wire, rounded up; the maximum of an unsigned 32-bit integer stands for "never known". */
 export function encodeAge(ageMs: number): number {
-	return Math.min(longestAge, Math.ceil(ageMs));
+	return Math.min(maxEncodedAgeMs, Math.ceil(ageMs));
 }
 
-/** Decodes an age from the wire. */
+/** Decodes an age from the wire; `Infinity` when it was never known. */
 export function decodeAge(ageMs: number): number {
-	return ageMs === longestAge ? Infinity : ageMs;
+	return ageMs === maxEncodedAgeMs ? Infinity : ageMs;
 }
--- a/packages/router/src/lib/configuration/section-set.ts
+++ b/packages/router/src/lib/configuration/section-set.ts
@@ -1,6 +1,6 @@
 /**
- * All sections of one version. Sets are immutable: a change makes a new set
- * that shares what stayed the same, which makes the swap to it atomic.
+ * All sections of one version. Sets are immutable: a change creates a new set
+ * that shares unchanged sections, so that replacing the current set is atomic.
  */
 import {createHash} from 'node:crypto';
 import {SectionCorruptError} from './configuration-errors.js';
@@ -8,20 +8,20 @@
 import {checkReferences} from './parse-document.js';
 import {parseSection, type Section, splitDocument} from './section.js';
 
-/** The sections of one version and the document that they make. */
+/** The sections of one version and the document that they form. */
 export type SectionSet = {
 	sections: ReadonlyMap<string, Section>;
-	/** SHA-256 over all names and digests, in hexadecimal; empty for no sections. */
+	/** SHA-256 over all names and digests, in hexadecimal; empty for the set before the first version. */
 	root: string;
-	/** Lists stand in the order of their names. */
+	/** The document; its lists are sorted by name. */
 	document: FleetDocument;
 };
 
-/** What leads from one set of sections to another. */
+/** The difference between two sets of sections. */
 export type SectionDelta = {
-	/** Texts of new and changed sections, by name. */
+	/** JSON texts of new and changed sections, by name. */
 	changed: ReadonlyMap<string, string>;
-	/** Names of sections that are gone. */
+	/** Names of removed sections. */
 	removed: readonly string[];
 };
 
@@ -32,7 +32,7 @@
 	document: emptyDocument(),
 };
 
-/** Tells what leads from `from` to the sections of a checked document. */
+/** Returns the delta from `from` to the sections of a validated document. */
 export function deltaTo(from: SectionSet, document: FleetDocument): SectionDelta {
 	const texts = splitDocument(document);
 	const changed = new Map<string, string>();
@@ -45,7 +45,7 @@
 	return {changed, removed: [...from.sections.keys()].filter(name => !texts.has(name))};
 }
 
-/** The whole set as a delta from nothing. */
+/** Returns all sections of a set as a delta from the empty set. */
 export function wholeDelta(set: SectionSet): SectionDelta {
 	const changed = new Map<string, string>();
 	for (const section of set.sections.values()) {
@@ -55,7 +55,7 @@
 	return {changed, removed: []};
 }
 
-/** Puts deltas that follow each other into one. */
+/** Merges consecutive deltas into one. */
 export function mergeDeltas(deltas: Iterable<SectionDelta>): SectionDelta {
 	const changed = new Map<string, string>();
 	const removed = new Set<string>();
@@ -79,7 +79,7 @@
  * sections are checked over the whole document.
  *
  * @param expectedRoot When given, the result must have this root.
- * @throws {SectionCorruptError} when it has not: something is missing or damaged.
+ * @throws {SectionCorruptError} when it has another root, because a section is missing or damaged.
  */
 export function applyDelta(from: SectionSet, delta: SectionDelta, expectedRoot?: string): SectionSet {
 	const sections = new Map(from.sections);
@@ -113,7 +113,7 @@
 function rootOf(ordered: readonly Section[]): string {
 	const hash = createHash('sha256');
 	for (const section of ordered) {
-		// Names hold no line feed and digests have one length, so that no two lists hash the same text.
+		// Names contain no line feed and digests have a fixed length, so different lists never hash the same bytes.
 		hash.update(`${section.name}\n`);
 		hash.update(section.digest);
 	}
--- a/packages/router/src/lib/configuration/section.ts
+++ b/packages/router/src/lib/configuration/section.ts
@@ -1,7 +1,7 @@
 /**
- * Sections: the units in which a document is stored and spread. Each
+ * Sections are the units in which a document is stored and distributed. Each
  * workspace, service and endpoint is one, and `fleet` holds the rest, so that
- * a change of one key moves some hundred bytes rather than the document.
+ * changing one key transfers a few hundred bytes instead of the full document.
  */
 import {createHash} from 'node:crypto';
 import {type z} from 'zod';
@@ -13,11 +13,11 @@
 export type Section = {
 	/** Such as `fleet` or `workspaces/school-1`. */
 	name: string;
-	/** The section as it is stored; the digest is taken over this text. */
+	/** The section as stored; the digest is computed over this text. */
 	json: string;
 	/** SHA-256 of `json`. */
 	digest: Uint8Array;
-	/** Puts the parsed value in its place in a document. */
+	/** Adds the parsed value to a document. */
 	addTo: (document: FleetDocument) => void;
 };
 
@@ -75,23 +75,23 @@
 }
 
 /**
- * Parses a section that was stored or received.
+ * Parses a stored or received section.
  *
- * @throws {DocumentInvalidError} when this build does not take its fields.
- * @throws {DocumentTooNewError} when its layout is newer than this build.
- * @throws {SectionCorruptError} when it is no section at all.
+ * @throws {DocumentInvalidError} when this build does not accept its fields.
+ * @throws {DocumentTooNewError} when its layout is newer than this build supports.
+ * @throws {SectionCorruptError} when its kind is unknown or its text is not JSON.
  */
 export function parseSection(name: string, json: string): Section {
 	const kind = name.split('/', 1)[0];
 	if (!isSectionKind(kind)) {
-		throw new SectionCorruptError(`This build knows no section of kind "${kind}". Upgrade this daemon.`);
+		throw new SectionCorruptError(`This build does not support sections of kind "${kind}". Upgrade this daemon.`);
 	}
 
 	let value: unknown;
 	try {
 		value = JSON.parse(json);
 	} catch (error) {
-		throw new SectionCorruptError(`Section "${name}" is no JSON.`, {cause: error});
+		throw new SectionCorruptError(`Section "${name}" is not valid JSON.`, {cause: error});
 	}
 
 	return {
@@ -102,7 +102,7 @@
 	};
 }
 
-/** Cuts a checked document into the texts of its sections, by name. */
+/** Splits a validated document into the JSON texts of its sections, by name. */
 export function splitDocument(document: FleetDocument): Map<string, string> {
 	const {layout, dataCentres} = document;
 	const texts = new Map([['fleet', JSON.stringify({layout, dataCentres})]]);
--- a/packages/router/src/test/administration/administration-fixture.ts
+++ b/packages/router/src/test/administration/administration-fixture.ts
@@ -1,4 +1,4 @@
-/** A running administration server over a store in memory, and a small client. */
+/** Starts an administration server with an in-memory store, and a small client for it. */
 import {createHash} from 'node:crypto';
 import {z} from 'zod';
 import {createConfigurationStore, documentSchema} from '../../configuration.js';
@@ -12,7 +12,7 @@
 
 const changes = z.array(changeSchema).default([]);
 
-/** The fields of all answers, empty where an answer has none. */
+/** The fields of all answers, with empty defaults for those that an answer lacks. */
 const bodySchema = z.object({
 	error: z.object({
 		code: z.string(),
@@ -37,12 +37,12 @@
 	objectives: z.array(z.unknown()).default([]),
 });
 
-/** What a route answered. */
+/** The answer of a route. */
 export type Answer = {
 	status: number;
 	headers: Headers;
 	text: string;
-	/** The JSON as it came. */
+	/** The parsed JSON; `{}` when the answer is not JSON. */
 	json: unknown;
 	body: z.output<typeof bodySchema>;
 };
--- a/packages/router/src/test/administration/administration-server.test.ts
+++ b/packages/router/src/test/administration/administration-server.test.ts
@@ -25,7 +25,7 @@
 		await started.close();
 	});
 
-	/** Starts with version 1 accepted. */
+	/** Starts the server with version 1 accepted. */
 	const startWithDocument = async (overrides?: Parameters<typeof startServer>[0]): Promise<Started['call']> => {
 		const call = await start(overrides);
 		const {status} = await call('ana', 'PUT', '/v1/configuration', {body: sampleDocument(), ifMatch: '"0"'});
@@ -35,7 +35,7 @@
 
 	const withRate = (tokensPerSecond: number) => ({body: sampleDocument(tokensPerSecond)});
 
-	it('shows, changes and says where the change is in force', async () => {
+	it('shows and changes the configuration, and reports where a change is in force', async () => {
 		const call = await startWithDocument();
 		const changed = await call('ana', 'PUT', '/v1/configuration', {...withRate(2000), ifMatch: '"1"'});
 		assert.equal(changed.headers.get('etag'), '"2"');
@@ -46,10 +46,10 @@
 		assert.equal(shown.body.document?.workspaces[0].tokensPerSecond, 2000);
 	});
 
-	it('refuses strangers before it reads their body, and changes by readers', async () => {
+	it('refuses unknown clients before it reads their body, and changes by operators with the role read', async () => {
 		const call = await startWithDocument();
 		const stranger = await call(undefined, 'PUT', '/v1/configuration', {body: 'x'.repeat(17 * 1024 * 1024), ifMatch: '"1"'}).catch(() => undefined);
-		assert.oneOf(stranger?.status, [401, undefined], 'refused, or cut off while sending');
+		assert.oneOf(stranger?.status, [401, undefined], 'refused, or connection closed while sending');
 		const unread = await call(undefined, 'POST', '/v1/configuration/check', {body: 'no document'});
 		assert.equal(unread.status, 401);
 		assert.equal(unread.headers.get('www-authenticate'), 'Bearer');
@@ -61,13 +61,13 @@
 		}
 	});
 
-	// Ana and Ben load version 1. Ben's change is accepted; Ana's comes after it.
-	// Without the comparison hers would undo his, and neither would know.
-	it('gives the later of two racing operators the difference, and takes the mended change', async () => {
+	// Ana and Ben load version 1. Ben's change is accepted before Ana's arrives.
+	// Without the version check hers would undo his unnoticed.
+	it('answers the later of two concurrent changes with the difference, and accepts it once corrected', async () => {
 		const call = await startWithDocument();
-		const bens = sampleDocument();
-		bens.workspaces[1].tokensPerSecond = 700;
-		await call('ben', 'PUT', '/v1/configuration', {body: bens, ifMatch: '"1"'});
+		const bensDocument = sampleDocument();
+		bensDocument.workspaces[1].tokensPerSecond = 700;
+		await call('ben', 'PUT', '/v1/configuration', {body: bensDocument, ifMatch: '"1"'});
 		const {status, body: {error}} = await call('ana', 'PUT', '/v1/configuration', {...withRate(2000), ifMatch: '"1"'});
 		assert.equal(status, 412);
 		assert.equal(error.currentVersion, 2);
@@ -79,7 +79,7 @@
 		assert.equal(again.headers.get('etag'), '"3"');
 	});
 
-	it('takes no change that does not say what it was made from', async () => {
+	it('refuses a change without the version that it is based on', async () => {
 		const call = await startWithDocument();
 		for (const ifMatch of [undefined, '*', 'W/"1"', '1', '"1", "2"', '"one"']) {
 			const {status} = await call('ana', 'PUT', '/v1/configuration', {...withRate(2000), ...(ifMatch !== undefined && {ifMatch})});
@@ -101,7 +101,7 @@
 		assert.equal(shown.body.version, 1);
 	});
 
-	it('issues a key that works, shows it once, and withdraws it', async () => {
+	it('issues a working key, shows it only once, and withdraws it', async () => {
 		const lines: string[] = [];
 		const restore = setLogWriter(line => {
 			lines.push(line);
@@ -133,10 +133,10 @@
 		assert.notInclude([...lines, rows, ...blobs].join(''), key);
 	});
 
-	// Ana's request to issue a key is refused, because Ben's change came first.
-	// The document that the store holds in memory was changed all the same, so
-	// that the next reader sees a key that nobody accepted.
-	it('leaves no trace of a key that was refused', async () => {
+	// Ana's request to issue a key is refused because Ben's change came first. If
+	// the key were added to the document that the store caches, the next reader
+	// would see a key that was never accepted.
+	it('does not show a key whose change was refused', async () => {
 		const call = await startWithDocument();
 		await call('ben', 'PUT', '/v1/configuration', {...withRate(3000), ifMatch: '"1"'});
 		const refused = await call('ana', 'POST', '/v1/workspaces/school-1/keys', {body: {id: 'till-1'}, ifMatch: '"1"'});
@@ -146,9 +146,9 @@
 		assert.deepEqual(shown.body.document?.workspaces[0].keys, []);
 	});
 
-	// The table takes the change and its answers are lost until the daemon gives
-	// up. The operator is told neither yes nor no, and can ask again by token.
-	it('says that an outcome is unknown, and tells it afterwards', async () => {
+	// The table applies the change, but its answers are lost until the daemon gives
+	// up. The operator gets an unknown outcome and can query it by the token.
+	it('reports an unknown outcome, and the outcome on a later query', async () => {
 		const call = await startWithDocument();
 		let isLost = false;
 		started.platform.setFault(kind => {
@@ -169,7 +169,7 @@
 		assert.deepEqual(json, {outcome: 'accepted'});
 	});
 
-	it('lists orders without an outcome and settles them in the operator\'s name', async () => {
+	it('lists orders with unknown outcome and settles them in the operator\'s name', async () => {
 		const settled: unknown[] = [];
 		const order = {
 			id: 'orders/a', workspace: 'school-1', service: 'orderdesk', requestId: 'r-1', method: 'POST', path: '/orders', createdMs: 1, endpoint: 'od-1', reason: 'no answer',
@@ -191,7 +191,7 @@
 		assert.deepEqual([wrong.status, wrong.body.error.faults[0].path], [400, 'body: outcome']);
 	});
 
-	it('says nothing of a fault of its own but that there was one', async () => {
+	it('does not reveal the details of an internal error', async () => {
 		const call = await start({
 			status() {
 				throw new Error('a pupil\'s name');
@@ -203,7 +203,7 @@
 		assert.isString(headers.get('x-request-id'));
 	});
 
-	it('describes every route, and that changes need If-Match', async () => {
+	it('describes every route in OpenAPI, including the required If-Match of changes', async () => {
 		const call = await startWithDocument();
 		const {json} = await call('reader', 'GET', '/v1/openapi.json');
 		const openApi = openApiSchema.parse(json);
@@ -224,7 +224,7 @@
 		assert.include(shown, 'Rate in tokens a second over all VMs together.', 'the schema of the document');
 	});
 
-	it('gives the burn report as JSON and as text', async () => {
+	it('serves the burn report as JSON and as text, and no HTML without a renderer', async () => {
 		const call = await start();
 		const asText: Answer = await call('reader', 'GET', '/v1/reports/burn?format=text');
 		assert.include(asText.text, 'no objective burns');
--- a/packages/router/src/test/administration/console.test.ts
+++ b/packages/router/src/test/administration/console.test.ts
@@ -20,7 +20,7 @@
 const hostileNames = ['<script>alert(1)</script>', '"><img src=x onerror=alert(1)>', '{"__proto__": 1}', '</textarea><svg onload=alert(1)>', '{{7*7}}', '__proto__'];
 
 describe('console', () => {
-	it('is served with a policy that runs nothing but its own files', async () => {
+	it('is served with a content security policy that allows only its own scripts', async () => {
 		const {call, close} = await startServer();
 		try {
 			for (const path of ['/console/', '/console/console.js', '/console/merge.js', '/console/schema-form.js', '/console/console.css']) {
@@ -40,9 +40,9 @@
 		}
 	});
 
-	// An operator opens the console. A colleague has put markup into a name, which
-	// would run in the browser of whoever may change the document.
-	it('puts hostile names in as text and values, and gives them back as they were', async () => {
+	// Stored cross-site scripting: markup that one operator puts into a name would
+	// run in the browser of another who may change the document.
+	it('inserts names with markup only as text and values, and returns them unchanged', async () => {
 		const {buildForm} = await load<FormModule>('schema-form.js');
 		for (const name of hostileNames) {
 			const value = sampleDocument();
@@ -54,12 +54,12 @@
 			assert.deepEqual(form.read(), structuredClone(value));
 			for (const element of listElements(form.element)) {
 				assert.include(['div', 'fieldset', 'legend', 'label', 'input', 'select', 'option', 'button', 'small', 'span'], element.name);
-				assert.notInclude([...element.attributes.values()].join(' '), name, 'attributes hold ids alone');
+				assert.notInclude([...element.attributes.values()].join(' '), name, 'attributes hold only ids');
 			}
 		}
 	});
 
-	it('labels every field, and puts faults at theirs', async () => {
+	it('labels every field, and shows each fault at its field', async () => {
 		const {buildForm, showFaults} = await load<FormModule>('schema-form.js');
 		const page = createFakePage();
 		const form = buildForm(page, schema, sampleDocument());
@@ -70,16 +70,16 @@
 		}
 
 		page.elements = elements;
-		const homeless = showFaults(page, form.fields, [{path: 'workspaces[0].burstTokens', message: 'too small'}, {path: 'nowhere', message: 'gone'}]);
+		const unmatched = showFaults(page, form.fields, [{path: 'workspaces[0].burstTokens', message: 'too small'}, {path: 'nowhere', message: 'gone'}]);
 		const input = form.fields.get('workspaces[0].burstTokens');
 		assert.equal(input?.attributes.get('aria-invalid'), 'true');
 		assert.equal(elements.find(element => element.id === `${input?.id}-fault`)?.textContent, 'too small');
-		assert.lengthOf(homeless, 1);
+		assert.lengthOf(unmatched, 1);
 	});
 
-	// Ana types for ten minutes. Ben's change is accepted meanwhile, and hers is
-	// refused with 412. Loading his version anew would throw her input away.
-	it('brings another operator\'s change in beside the input', async () => {
+	// Ana's change is refused with 412 because Ben's was accepted while she typed.
+	// Reloading his version would discard her input.
+	it('merges another operator\'s change with the input', async () => {
 		const {mergeDocuments} = await load<MergeModule>('merge.js');
 		const base = sampleDocument();
 		const theirs = sampleDocument();
@@ -93,14 +93,14 @@
 		assert.lengthOf(value.endpoints, 2);
 	});
 
-	it('keeps the input where both changed the same, and names the place', async () => {
+	it('keeps the input where both changed the same field, and reports its path', async () => {
 		const {mergeDocuments} = await load<MergeModule>('merge.js');
 		const {value, conflicts} = mergeDocuments(sampleDocument(1000), sampleDocument(3000), sampleDocument(2000));
 		assert.deepEqual(conflicts, ['workspaces[school-1].tokensPerSecond']);
 		assert.equal(value.workspaces[0].tokensPerSecond, 2000);
 	});
 
-	it('loses neither side\'s change, wherever they are', async () => {
+	it('keeps the changes of both sides, whichever fields they are in', async () => {
 		const {mergeDocuments} = await load<MergeModule>('merge.js');
 		const rates = fc.array(fc.integer({min: 1, max: 5}), {minLength: 2, maxLength: 2});
 		fc.assert(fc.property(rates, rates, rates, (base, theirs, mine) => {
@@ -121,7 +121,7 @@
 		}), {seed: 1, numRuns: 200});
 	});
 
-	it('holds labels and landmarks for a screen reader', async () => {
+	it('has labels and landmarks for screen readers', async () => {
 		const html = await readFile(new URL('../../../console/index.html', import.meta.url), 'utf8');
 		for (const [, id] of html.matchAll(/<input id="([^"]+)"/gv)) {
 			assert.include(html, `<label for="${id}">`);
--- a/packages/router/src/test/administration/fake-page.ts
+++ b/packages/router/src/test/administration/fake-page.ts
@@ -1,4 +1,4 @@
-/** As much of a browser's page as the console's forms use. */
+/** A fake of the part of the DOM that the console uses. */
 
 export type FakeElement = {
 	name: string;
@@ -12,7 +12,7 @@
 	replaceChildren: (...children: FakeElement[]) => void;
 	setAttribute: (name: string, value: string) => void;
 	removeAttribute: (name: string) => void;
-	/** Handlers by the name of their event. */
+	/** Event handlers by event name. */
 	handlers: Map<string, (event: FakeEvent) => Promise<void> | void>;
 	hidden: boolean;
 	disabled: boolean;
@@ -23,7 +23,7 @@
 export type FakeEvent = {preventDefault: () => void; submitter?: {value: string}};
 
 export type FakePage = {
-	/** What `querySelector` searches, by id. */
+	/** Roots of the trees that `querySelector` searches by id. */
 	elements: FakeElement[];
 	createElement: (name: string) => FakeElement;
 	querySelector: (selector: string) => FakeElement | undefined;
@@ -38,8 +38,8 @@
 	return page;
 }
 
-/** A page with an element for each id of an HTML text. */
-export function createPageOf(html: string): FakePage {
+/** Creates a page with an element for each id in an HTML text. */
+export function createPageFromHtml(html: string): FakePage {
 	const page = createFakePage();
 	for (const [, name, id] of html.matchAll(/<(\w+)[^>]* id="([^"]+)"/gv)) {
 		page.elements.push(Object.assign(createElement(name), {id}));
@@ -80,7 +80,7 @@
 	return element;
 }
 
-/** An element and all below it. */
+/** Yields an element and all its descendants. */
 export function * listElements(element: FakeElement): Iterable<FakeElement> {
 	yield element;
 	for (const child of element.children) {
--- a/packages/router/src/test/administration/schema-reference.test.ts
+++ b/packages/router/src/test/administration/schema-reference.test.ts
@@ -5,7 +5,7 @@
 import {documentSchema} from '../../configuration.js';
 
 describe('formatSchemaReference', () => {
-	it('gives a row for each field, with its default, bounds and variants', () => {
+	it('formats a row for each field, with its default, bounds and variants', () => {
 		const table = formatSchemaReference(z.strictObject({
 			share: z.number().gt(0).lt(1).default(0.5).describe('A share; a | b.'),
 			items: z.array(z.discriminatedUnion('kind', [
@@ -18,8 +18,8 @@
 		assert.include(table, '| `items[](model).name` | string | required | Its name. |');
 	});
 
-	// An operator looks a field up and finds that it does not exist any more.
-	it('is what docs/reference/document.md holds', async () => {
+	// Otherwise the reference page would describe fields that no longer exist.
+	it('matches the table in docs/reference/document.md', async () => {
 		const page = await readFile(new URL('../../../../../docs/reference/document.md', import.meta.url), 'utf8');
 		assert.include(page, formatSchemaReference(documentSchema), 'run: npm run bench -- reference');
 	});
--- a/packages/router/src/test/configuration/configuration-follower.test.ts
+++ b/packages/router/src/test/configuration/configuration-follower.test.ts
@@ -12,10 +12,10 @@
 import {createFakePlatform, type Fault, type FakePlatform} from './fake-platform.js';
 import {sampleDocument} from './sample-document.js';
 
-/** How many histories each property is tried on; CI runs a small fixed set. */
+/** Number of generated histories per property test; CI runs a small fixed set. */
 const histories = Number(process.env.STATE_HISTORIES ?? 40);
 
-/** The age of a head that its sender never knew to be the newest. */
+/** Encoded age of a head that its sender never knew to be the newest. */
 const neverKnown = 0xFF_FF_FF_FF;
 
 type Fleet = {
@@ -33,7 +33,7 @@
 	reach?: (name: string) => Reach;
 };
 
-/** Followers over fake links; daemon N stands in data centre N modulo their number. */
+/** Creates followers connected by fake links; daemon N is in data centre N modulo the number of data centres. */
 function createFleet(options: FleetOptions): Fleet {
 	const platform = createFakePlatform({delayMs: () => 5});
 	const links = createFakeLinks(options);
@@ -48,7 +48,7 @@
 		const rank = nearbyOf[centreOf(name)].indexOf(name);
 		let turn = Number(name.slice(3));
 		const follower = createConfigurationFollower({
-			loader: createConfigurationStore({platform: platform.through(() => options.storeFault?.(name) ?? 'none')}),
+			loader: createConfigurationStore({platform: platform.withFaults(() => options.storeFault?.(name) ?? 'none')}),
 			send: link.send,
 			peers: () => ({nearby, distant, rank}),
 			reach: () => options.reach?.(name) ?? {heard: options.daemons, listed: options.daemons, newestVersion: 0},
@@ -69,7 +69,7 @@
 	};
 }
 
-async function settle<Result>(clock: Clock, promise: Promise<Result>): Promise<Result> {
+async function awaitWithClock<Result>(clock: Clock, promise: Promise<Result>): Promise<Result> {
 	await clock.tickAsync(1000);
 	return promise;
 }
@@ -90,7 +90,7 @@
 
 	async function assertInForceWithin(boundMs: number, daemons: number, dataCentres: number) {
 		fleet = createFleet({daemons, dataCentres});
-		await settle(clock, fleet.store.propose(sampleDocument(1), {expectedVersion: 0, who: 'ana'}));
+		await awaitWithClock(clock, fleet.store.propose(sampleDocument(1), {expectedVersion: 0, who: 'ana'}));
 		await clock.tickAsync(20_000);
 		const readsBefore = fleet.platform.reads;
 		await clock.tickAsync(10_000);
@@ -109,16 +109,17 @@
 
 	it('brings a version into force on 650 daemons within 10 s', async () => assertInForceWithin(10_000, 650, 23));
 
-	it('never goes back, whatever is lost, doubled or late', async () => {
-		// Callers of a withdrawn key would be let in again. Heads and answers come
-		// doubled and late, peers restart empty and hear of older versions first,
-		// and the store fails for some. Checked after every version anywhere.
+	it('never returns to a lower version when messages are lost, duplicated or delayed', async () => {
+		// Otherwise withdrawn keys would be accepted again. Heads and answers are
+		// lost, duplicated and delayed, peers restart empty and receive older
+		// versions first, and the store fails for some. Checked at each new version
+		// of every daemon.
 		await fc.assert(fc.asyncProperty(fc.array(fc.nat(9), {minLength: 50, maxLength: 50}), fc.array(fc.nat(4), {maxLength: 6}), async (draws, restarts) => {
 			let turn = 0;
 			const draw = () => draws[turn++ % draws.length];
 			let faulty = true;
 			const delays: ReadonlyArray<readonly number[]> = [[], [2], [2], [2], [2, 3000], [700], [9000], [2, 2], [2], []];
-			const own = createFleet({
+			const generatedFleet = createFleet({
 				daemons: 5,
 				dataCentres: 2,
 				route: () => faulty ? delays[draw()] : [2],
@@ -129,57 +130,58 @@
 				assert.isAbove(version, highest.get(follower) ?? 0);
 				highest.set(follower, version);
 			});
-			for (const follower of own.followers.values()) {
+			for (const follower of generatedFleet.followers.values()) {
 				watch(follower);
 			}
 
 			for (let version = 0; version < 6; version++) {
-				await settle(clock, own.store.propose(sampleDocument(version + 1), {expectedVersion: version, who: 'ana'}));
+				await awaitWithClock(clock, generatedFleet.store.propose(sampleDocument(version + 1), {expectedVersion: version, who: 'ana'}));
 				const restarted = restarts[version];
 				if (restarted !== undefined) {
-					own.followers.get(`vm-${restarted}`)?.stop();
-					watch(own.start(`vm-${restarted}`));
+					generatedFleet.followers.get(`vm-${restarted}`)?.stop();
+					watch(generatedFleet.start(`vm-${restarted}`));
 				}
 			}
 
 			faulty = false;
 			await clock.tickAsync(30_000);
-			for (const [name, follower] of own.followers) {
+			for (const [name, follower] of generatedFleet.followers) {
 				assert.equal(follower.current()?.version, 6, name);
 				follower.stop();
 			}
 		}), {seed: 1, numRuns: histories});
 	});
 
-	it('stops serving on the side that may have missed a withdrawal, and only there', async () => {
-		// Two of five daemons are cut from store and peers. A key is withdrawn on
-		// the other side; the two can't know, so after the limit they take no key.
-		const cut = (name: string) => name === 'vm-3' || name === 'vm-4';
-		let apart = false;
+	it('stops serving only on the side of a partition that may have missed a withdrawal', async () => {
+		// Two of five daemons are partitioned from the store and their peers. They
+		// can't know whether a key is withdrawn on the other side, so they must
+		// accept no key after the isolation limit.
+		const isCut = (name: string) => name === 'vm-3' || name === 'vm-4';
+		let isPartitioned = false;
 		fleet = createFleet({
 			daemons: 5,
 			dataCentres: 1,
-			route: (from, to) => apart && cut(from) !== cut(to) ? [] : [2],
-			storeFault: name => apart && cut(name) ? 'down' : 'none',
-			reach: name => ({heard: apart ? (cut(name) ? 2 : 3) : 5, listed: 5, newestVersion: 0}),
+			route: (from, to) => isPartitioned && isCut(from) !== isCut(to) ? [] : [2],
+			storeFault: name => isPartitioned && isCut(name) ? 'down' : 'none',
+			reach: name => ({heard: isPartitioned ? (isCut(name) ? 2 : 3) : 5, listed: 5, newestVersion: 0}),
 		});
-		await settle(clock, fleet.store.propose(sampleDocument(1), {expectedVersion: 0, who: 'ana'}));
+		await awaitWithClock(clock, fleet.store.propose(sampleDocument(1), {expectedVersion: 0, who: 'ana'}));
 		await clock.tickAsync(5000);
-		apart = true;
+		isPartitioned = true;
 		await clock.tickAsync(13_000);
-		assert.isTrue(fleet.followers.get('vm-3')?.mayServe(), 'a short cut costs nothing');
+		assert.isTrue(fleet.followers.get('vm-3')?.mayServe(), 'still serves within the isolation limit');
 		await clock.tickAsync(3000);
 		const serving = [...fleet.followers].filter(([, follower]) => follower.mayServe()).map(([name]) => name);
 		assert.deepEqual(serving, ['vm-0', 'vm-1', 'vm-2']);
-		apart = false;
+		isPartitioned = false;
 		await clock.tickAsync(5000);
-		assert.isTrue(fleet.followers.get('vm-3')?.mayServe(), 'it serves again once healed');
+		assert.isTrue(fleet.followers.get('vm-3')?.mayServe(), 'serves again after the partition heals');
 	});
 
-	it('serves on through an hour without the store while a majority is heard', async () => {
+	it('goes on serving for an hour without the store while it receives heartbeats from a majority', async () => {
 		let down = false;
 		fleet = createFleet({daemons: 9, dataCentres: 3, storeFault: () => down ? 'down' : 'none'});
-		await settle(clock, fleet.store.propose(sampleDocument(1), {expectedVersion: 0, who: 'ana'}));
+		await awaitWithClock(clock, fleet.store.propose(sampleDocument(1), {expectedVersion: 0, who: 'ana'}));
 		await clock.tickAsync(5000);
 		down = true;
 		await clock.tickAsync(3_600_000);
@@ -189,28 +191,29 @@
 		assert.isBelow((fleet.platform.reads - readsBefore) / 10 / 9, 0.5, 'reads a second of each daemon in an outage');
 	});
 
-	it('does not serve by what it had when it comes back from a cut into a store outage', async () => {
-		// One daemon is cut off and misses a withdrawal; then the store goes down
-		// for all and the cut heals. It hears a majority again, none of which has
-		// news of the store, but it must not take that for "I missed nothing".
-		let apart = false;
+	it('does not serve by an outdated version when its partition heals during a store outage', async () => {
+		// One daemon is partitioned and misses a withdrawal; then the store fails for
+		// all and the partition heals. The daemon receives heartbeats from a majority
+		// again, none of which can read the store, but must not conclude that it has
+		// missed nothing.
+		let isPartitioned = false;
 		let down = false;
 		const isCut = (name: string) => name === 'vm-4';
 		fleet = createFleet({
 			daemons: 5,
 			dataCentres: 1,
-			route: (from, to) => apart && isCut(from) !== isCut(to) ? [] : [2],
-			storeFault: name => down || (apart && isCut(name)) ? 'down' : 'none',
-			reach: name => ({heard: apart ? (isCut(name) ? 1 : 4) : 5, listed: 5, newestVersion: apart && isCut(name) ? 1 : 2}),
+			route: (from, to) => isPartitioned && isCut(from) !== isCut(to) ? [] : [2],
+			storeFault: name => down || (isPartitioned && isCut(name)) ? 'down' : 'none',
+			reach: name => ({heard: isPartitioned ? (isCut(name) ? 1 : 4) : 5, listed: 5, newestVersion: isPartitioned && isCut(name) ? 1 : 2}),
 		});
-		await settle(clock, fleet.store.propose(sampleDocument(1), {expectedVersion: 0, who: 'ana'}));
+		await awaitWithClock(clock, fleet.store.propose(sampleDocument(1), {expectedVersion: 0, who: 'ana'}));
 		await clock.tickAsync(5000);
-		apart = true;
-		await settle(clock, fleet.store.propose(sampleDocument(2), {expectedVersion: 1, who: 'ana'}));
+		isPartitioned = true;
+		await awaitWithClock(clock, fleet.store.propose(sampleDocument(2), {expectedVersion: 1, who: 'ana'}));
 		await clock.tickAsync(60_000);
 		down = true;
 		await clock.tickAsync(60_000);
-		apart = false;
+		isPartitioned = false;
 		const back = fleet.followers.get('vm-4');
 		for (let step = 0; step < 200; step++) {
 			assert.isFalse(back?.mayServe() && back.current()?.version === 1);
@@ -221,9 +224,9 @@
 		assert.isTrue(back?.mayServe());
 	});
 
-	it('does not serve by a snapshot or a stale peer alone after a restart', async () => {
-		// The store is down for all, and a daemon starts from an old snapshot. It
-		// can't know whether the snapshot is the newest version, so it must not guess.
+	it('does not serve after a restart by a snapshot or a stale peer alone', async () => {
+		// The store is down for all, and daemons start from an old snapshot. They
+		// can't know whether its version is the newest, so they must not serve.
 		const set = applyDelta(emptySectionSet, {changed: new Map([['fleet', '{"layout":1,"dataCentres":[]}']]), removed: []});
 		fleet = createFleet({daemons: 3, dataCentres: 1, storeFault: () => 'down'});
 		for (const follower of fleet.followers.values()) {
@@ -239,11 +242,12 @@
 		}
 	});
 
-	it('keeps what is in force when this build does not take a newer version', async () => {
-		// An upgraded daemon accepted fields that this build would drop in
-		// silence. It keeps the old version, says so, and stops at the limit.
+	it('keeps the version in force when this build does not support a newer one', async () => {
+		// An upgraded daemon has accepted fields that this build would silently drop.
+		// The daemon keeps the old version, reports the refusal, and stops serving at
+		// the isolation limit.
 		fleet = createFleet({daemons: 1, dataCentres: 1});
-		await settle(clock, fleet.store.propose(sampleDocument(1), {expectedVersion: 0, who: 'ana'}));
+		await awaitWithClock(clock, fleet.store.propose(sampleDocument(1), {expectedVersion: 0, who: 'ana'}));
 		await clock.tickAsync(2000);
 		const [follower] = fleet.followers.values();
 		const origin = {name: 'vm-9', incarnation: 1n};
@@ -260,7 +264,7 @@
 		assert.equal(follower.current()?.version, 1);
 		assert.isTrue(follower.mayServe());
 		for (let second = 0; second < 16; second++) {
-			// Others go on to tell of version 2, and a stale peer calls version 1 the newest.
+			// Other peers keep announcing version 2, and a stale peer announces version 1 as the newest.
 			follower.handlers.configurationHead?.(origin, create(ConfigurationHeadSchema, {version: 2n, ageMs: 0}));
 			follower.handlers.configurationHead?.(origin, create(ConfigurationHeadSchema, {version: 1n, ageMs: 0}));
 			await clock.tickAsync(1000);
--- a/packages/router/src/test/configuration/fake-links.ts
+++ b/packages/router/src/test/configuration/fake-links.ts
@@ -1,45 +1,45 @@
-/** Links in memory on the runtime's clock: messages can be late, lost and doubled. */
+/** In-memory links between daemons, driven by timers; messages can be delayed, lost or duplicated. */
 import {dispatch} from '../../lib/links/dispatch.js';
 import {type PeerBody, type PeerHandlers, type SendToPeer} from '../../lib/links/peer-link.js';
 
 export type FakeLinks = {
-	/** Joins a daemon; its handlers may be set later. */
+	/** Adds a daemon; handlers may be added later. */
 	join: (name: string, incarnation?: bigint) => {send: SendToPeer; handle: (handlers: PeerHandlers) => void};
 	leave: (name: string) => void;
 	messages: number;
 };
 
 export type FakeLinksOptions = {
-	/** Delays in milliseconds after which a message arrives; none when it is lost, two when it is doubled. */
+	/** Delays in milliseconds after which copies of a message arrive: an empty list loses it, two delays duplicate it. */
 	route?: (from: string, to: string) => readonly number[];
 };
 
-const usualDelay = [2];
+const defaultDelaysMs = [2];
 
 export function createFakeLinks(options: FakeLinksOptions = {}): FakeLinks {
 	const handlers = new Map<string, PeerHandlers[]>();
 	const links: FakeLinks = {
 		messages: 0,
 		join(name, incarnation = 1n) {
-			const own: PeerHandlers[] = [];
-			handlers.set(name, own);
+			const joinedHandlers: PeerHandlers[] = [];
+			handlers.set(name, joinedHandlers);
 			return {
 				send(to, body) {
 					links.messages++;
-					for (const delay of options.route?.(name, to) ?? usualDelay) {
+					for (const delay of options.route?.(name, to) ?? defaultDelaysMs) {
 						setTimeout(() => {
 							deliver(to, body);
 						}, delay);
 					}
 				},
 				handle(added) {
-					own.push(added);
+					joinedHandlers.push(added);
 				},
 			};
 
 			function deliver(to: string, body: PeerBody) {
-				for (const one of handlers.get(to) ?? []) {
-					dispatch(one, {name, incarnation}, body);
+				for (const target of handlers.get(to) ?? []) {
+					dispatch(target, {name, incarnation}, body);
 				}
 			}
 		},
--- a/packages/router/src/test/configuration/fake-platform.ts
+++ b/packages/router/src/test/configuration/fake-platform.ts
@@ -1,16 +1,16 @@
-/** Table and object store in memory, with a fault for each call if wanted. */
+/** In-memory table and object store with optional fault injection. */
 import {PlatformUnavailableError} from '../../lib/platform/platform-errors.js';
 import {type Platform, type TableRow, type TableWrite} from '../../lib/platform/platform.js';
 
-/** `down`: nothing happens. `lost`: it takes effect, the answer is lost. */
+/** `down`: the call fails without effect. `lost`: the call takes effect, but its answer is lost. */
 export type Fault = 'none' | 'down' | 'lost';
 
 export type CallKind = 'read' | 'write';
 
 export type FakePlatformOptions = {
-	/** Chooses what becomes of a call. */
+	/** Chooses the fault of each call. */
 	fault?: (kind: CallKind) => Fault;
-	/** Milliseconds that each call takes. */
+	/** Duration of each call in milliseconds. */
 	delayMs?: () => number;
 };
 
@@ -20,8 +20,8 @@
 	reads: number;
 	writes: number;
 	setFault: (fault: (kind: CallKind) => Fault) => void;
-	/** Another way in, with faults of its own. */
-	through: (fault: (kind: CallKind) => Fault) => Pick<Platform, 'table' | 'objects'>;
+	/** Access to the same rows and objects with separate fault injection. */
+	withFaults: (fault: (kind: CallKind) => Fault) => Pick<Platform, 'table' | 'objects'>;
 };
 
 const pause = async (ms: number) => new Promise<void>(resolve => {
@@ -55,18 +55,18 @@
 		return {committed: true as const, versions: written};
 	}
 
-	function through(choose: (kind: CallKind) => Fault): Pick<Platform, 'table' | 'objects'> {
+	function withFaults(chooseFault: (kind: CallKind) => Fault): Pick<Platform, 'table' | 'objects'> {
 		async function call<Result>(kind: CallKind, run: () => Result): Promise<Result> {
 			platform[kind === 'read' ? 'reads' : 'writes']++;
-			const chosen = choose(kind);
+			const chosenFault = chooseFault(kind);
 			const delay = options.delayMs?.() ?? 0;
 			await (delay > 0 ? pause(delay) : undefined);
-			if (chosen === 'down') {
+			if (chosenFault === 'down') {
 				throw new PlatformUnavailableError('down', false);
 			}
 
 			const result = run();
-			if (chosen === 'lost') {
+			if (chosenFault === 'lost') {
 				throw new PlatformUnavailableError('lost', kind === 'write');
 			}
 
@@ -108,8 +108,8 @@
 		setFault(next) {
 			fault = next;
 		},
-		through,
-		...through(kind => fault(kind)),
+		withFaults,
+		...withFaults(kind => fault(kind)),
 	};
 	return platform;
 }
--- a/packages/router/src/test/configuration/key-ring.test.ts
+++ b/packages/router/src/test/configuration/key-ring.test.ts
@@ -7,9 +7,9 @@
 import {sampleDocument} from './sample-document.js';
 
 describe('createKeyRing', () => {
-	it('refuses a withdrawn key on a connection that was open before', async () => {
-		// A caller keeps one connection open. Its key is withdrawn between two
-		// requests; what the connection was allowed before must not count.
+	it('refuses a withdrawn key on a connection opened before the withdrawal', async () => {
+		// A caller keeps one connection open, and its key is withdrawn between two
+		// requests. The second one must not be authorized by the first.
 		const {key, digest} = issueKey();
 		let accepted: AcceptedDocument = {version: 1, document: sampleDocument(1, [digest])};
 		const ring = createKeyRing({current: () => accepted, mayServe: () => true});
@@ -35,7 +35,7 @@
 		await app.close();
 	});
 
-	it('takes no key while the daemon may not serve, and none but the whole key', () => {
+	it('accepts only a complete key, and no key while the daemon may not serve', () => {
 		const {key, digest} = issueKey();
 		let mayServe = true;
 		const ring = createKeyRing({current: () => ({version: 1, document: sampleDocument(1, [digest])}), mayServe: () => mayServe});
@@ -50,7 +50,7 @@
 describe('summariseConfirmations', () => {
 	const daemon = (index: number, version: number, silentMs = 100) => ({vm: `vm-${index}`, version, silentMs});
 
-	it('names the VM that has not confirmed, and counts a silent one only after the bound', () => {
+	it('lists VMs that have not confirmed, and counts a silent one as stopped only after the silence limit', () => {
 		const eight = Array.from({length: 8}, (_, index) => daemon(index, 5));
 		const waiting = summariseConfirmations({version: 5, silentLimitMs: 20_000, daemons: [...eight, daemon(8, 4, 19_000)]});
 		assert.equal(waiting.text, 'committed, in force on 8 of 9, waiting for vm-8');
@@ -59,8 +59,8 @@
 		assert.deepEqual(done.stopped, ['vm-8']);
 	});
 
-	it('does not count a silent half as stopped', () => {
-		// A silent majority hears itself, so that it may serve on without the store.
+	it('does not count daemons as stopped when half of them are silent', () => {
+		// Silent daemons may form a majority among themselves and go on serving without the store.
 		const half = [daemon(0, 5), daemon(1, 5), daemon(2, 4, 1e9), daemon(3, 4, 1e9)];
 		assert.isFalse(summariseConfirmations({version: 5, silentLimitMs: 20_000, daemons: half}).complete);
 	});
--- a/packages/router/src/test/configuration/sample-document.ts
+++ b/packages/router/src/test/configuration/sample-document.ts
@@ -1,4 +1,4 @@
-/** A small document that holds together, with a rate to tell versions apart. */
+/** A small valid document; the rate distinguishes versions. */
 import {type FleetDocument, parseDocument} from '../../configuration.js';
 
 export function sampleDocument(tokensPerSecond = 1000, digests: string[] = []): FleetDocument {
--- a/packages/router/src/test/parse-document.test.ts
+++ b/packages/router/src/test/parse-document.test.ts
@@ -16,26 +16,26 @@
 };
 
 describe('parseDocument', () => {
-	it('fills defaults of a document that holds together', () => {
+	it('fills in the defaults of a valid document', () => {
 		const parsed = parseDocument(document);
 		assert.equal(parsed.workspaces[0].weight, 1);
 		assert.equal(parsed.endpoints[0].checksFencing, false);
 	});
 
-	it('names the field of every fault', () => {
+	it('reports the field of every fault', () => {
 		const broken = structuredClone(document);
 		broken.workspaces[0].services = ['no-such-service'];
 		broken.endpoints[0].dataCentre = 'nowhere';
 		try {
 			parseDocument(broken);
-			assert.fail('the document was taken');
+			assert.fail('the document was accepted');
 		} catch (error) {
 			assert.instanceOf(error, DocumentInvalidError);
 			assert.deepEqual(error.faults.map(fault => fault.path), ['workspaces[0].services[0]', 'endpoints[0].dataCentre']);
 		}
 	});
 
-	it('refuses a layout newer than this build before looking at its fields', () => {
+	it('refuses a newer layout before it validates any field', () => {
 		assert.throws(() => parseDocument({layout: 99, news: true}), DocumentTooNewError);
 	});
 });
