--- a/packages/router/src/lib/limits/claim-line.ts
+++ b/packages/router/src/lib/limits/claim-queue.ts
@@ -1,6 +1,7 @@
 /**
- * Claims that an issuer's reserve cannot pay yet: first come, first served, as
- * soon as the tokens are there, with word to the holder when that will be.
+ * FIFO queue of the claims that an issuer's reserve cannot cover yet. A claim is
+ * answered as soon as the tokens have accrued; a notice tells the holder when
+ * that is expected.
  */
 import {create} from '@bufbuild/protobuf';
 import {ShareNoticeSchema} from '../../gen/hickorywalk/v1/limits_pb.js';
@@ -9,45 +10,45 @@
 import {type Claim, type ShareAccount} from './share-account.js';
 import {msUntil} from './token-level.js';
 
-/** What {@link createClaimLine} needs of its issuer. */
-export type ClaimLineOptions = {
+/** Options of {@link createClaimQueue}, given by the issuer. */
+export type ClaimQueueOptions = {
 	generation: number;
 	settings: LimiterSettings;
 	outbox: Outbox;
 	/** Brings the reserve up to date. */
 	refresh: (account: ShareAccount) => void;
-	/** Grants what the reserve has towards the claim. */
+	/** Grants the tokens that the reserve has for the claim. */
 	answer: (account: ShareAccount, name: string, claim: Claim) => void;
 	isComplete: () => boolean;
 	mayIssue: () => boolean;
-	/** Runs what a timer called for. */
+	/** Runs the callback of a timer. */
 	run: (callback: () => void) => void;
 };
 
-/** The claims of one issuer's workspaces. */
-export type ClaimLine = {
-	/** Takes a claim in, or renews it in its place, and serves what can be served. */
+/** The claims on the workspaces of one issuer. */
+export type ClaimQueue = {
+	/** Adds a claim, or updates it without moving it, and serves the queue. */
 	place: (account: ShareAccount, name: string, claim: Claim) => void;
-	/** Gives to claims in their order; stops at the first that must wait on. */
+	/** Serves claims in order; stops at the first that the reserve cannot cover. */
 	serve: (account: ShareAccount) => void;
-	/** Tells a holder when its claim will be met; nothing while that is unknown. */
+	/** Sends a holder the notice of when its claim is expected to be met; sends nothing while holders are unknown. */
 	notify: (account: ShareAccount, name: string) => void;
 	notifyAll: (account: ShareAccount) => void;
 	stop: () => void;
 };
 
-/** Largest figure that a notice can carry. */
-const mostAhead = 2_147_483_647;
+/** Largest value of the field `ahead` of a notice, an sint32. */
+const maxNoticeAhead = 2_147_483_647;
 
-/** Milliseconds without a repeat, in `resendMs`, after which a claim counts as given up. */
-const claimRepeats = 4;
+/** Multiple of `resendMs` without a repeat after which a claim counts as given up. */
+const claimExpiryResends = 4;
 
-/** Creates an empty line. */
-export function createClaimLine(options: ClaimLineOptions): ClaimLine {
+/** Creates an empty queue. */
+export function createClaimQueue(options: ClaimQueueOptions): ClaimQueue {
 	const {settings, outbox, generation, refresh, answer, isComplete, mayIssue} = options;
 	const timers = new Map<string, NodeJS.Timeout>();
 
-	/** Comes back as soon as the reserve can pay for the claim at the front. */
+	/** Sets a timer for when the reserve covers the claim at the front. */
 	function arm(account: ShareAccount, tokens: number): void {
 		clearTimeout(timers.get(account.workspace));
 		const wait = msUntil(account.reserve, tokens);
@@ -63,11 +64,11 @@
 		}
 	}
 
-	/** Gives to claims in their order; stops at the first that must wait on. */
+	/** Serves claims in order; stops at the first that the reserve cannot cover. */
 	function serve(account: ShareAccount): void {
 		for (const [name, claim] of account.claims) {
-			if (performance.now() > claim.at + (settings.resendMs * claimRepeats)) {
-				// The holder would have repeated it: nobody waits for these tokens any more.
+			if (performance.now() > claim.at + (settings.resendMs * claimExpiryResends)) {
+				// The holder repeats a claim while it needs it, so no request waits for these tokens any more.
 				account.claims.delete(name);
 				continue;
 			}
@@ -88,7 +89,7 @@
 				answer(account, name, claim);
 			} else {
 				answer(account, name, claim);
-				// The rest keeps its place until the holder wishes again.
+				// The rest keeps its place until the next wish of the holder.
 				claim.tokens -= given;
 				claim.answered = true;
 			}
@@ -111,7 +112,7 @@
 				workspace: account.workspace,
 				generation,
 				sequence: holding.sequence,
-				ahead: Math.ceil(Math.max(-mostAhead, Math.min(mostAhead, ahead))),
+				ahead: Math.ceil(Math.max(-maxNoticeAhead, Math.min(maxNoticeAhead, ahead))),
 				rate: Math.floor(account.reserve.rate),
 			}));
 		}
@@ -126,9 +127,9 @@
 	}
 
 	function place(account: ShareAccount, name: string, claim: Claim): void {
-		const standing = account.claims.get(name);
-		if (standing) {
-			Object.assign(standing, claim);
+		const existing = account.claims.get(name);
+		if (existing) {
+			Object.assign(existing, claim);
 		} else {
 			account.claims.set(name, claim);
 		}
--- a/packages/router/src/lib/limits/held-share.ts
+++ b/packages/router/src/lib/limits/held-share.ts
@@ -1,4 +1,4 @@
-/** What one daemon holds of one workspace's limit, and the requests that wait for it. */
+/** The share that a daemon holds of one workspace's limit, and the requests that wait for it. */
 import {type ShareWish} from '../../gen/hickorywalk/v1/limits_pb.js';
 import {type LimiterSettings} from './limiter-settings.js';
 import {emptyLevel, refill, type TokenLevel} from './token-level.js';
@@ -6,53 +6,53 @@
 /** A request that waits for tokens. */
 export type Waiter = {
 	tokens: number;
-	/** Latest time of a grant. */
+	/** Latest time for a grant. */
 	deadline: number;
-	/** When the request is refused unless news come; never after the deadline. */
+	/** Time at which the request is refused unless an answer changes it; never after the deadline. */
 	refuseAt: number;
-	/** Ends the wait: granted, or refused with the time after which to try again. */
+	/** Ends the wait: grants the request, or refuses it if `retryAfterMs` is given. */
 	finish: (retryAfterMs?: number) => void;
 };
 
-/** The share and its bookkeeping. Times are milliseconds of `performance.now()`. */
+/** A share and its state. Times are milliseconds of `performance.now()`. */
 export type HeldShare = {
 	workspace: string;
 	shard: number;
 	level: TokenLevel;
-	/** The share may be used before this time only. */
+	/** The share may be used only before this time. */
 	leaseEnd: number;
-	/** Last wish sent. */
+	/** Sequence of the last wish sent. */
 	sequence: number;
 	/** Sequence of the last grant that was applied. */
 	applied: number;
-	/** When that wish first left: the lease of its answer counts from here. */
+	/** When that wish was first sent: the lease of its answer counts from here. */
 	wishedAt: number;
 	/** When it was last sent. */
 	sentAt: number;
-	/** How often it was sent. */
+	/** How many times it was sent. */
 	sends: number;
 	lastWish?: ShareWish;
-	/** Whether the last wish is unanswered. */
+	/** Whether the last wish awaits an answer. */
 	outstanding: boolean;
-	/** Tokens of requests that are not settled yet. */
+	/** Tokens of reservations that are not settled yet. */
 	reserved: number;
-	/** Part of their reservations that requests give back at the most, but for a few. */
+	/** Estimate of the fraction of a reservation that is returned unused; exceeded by few requests. */
 	unusedShare: number;
-	/** Tokens a second that requests asked for lately. */
+	/** Moving average of the requested tokens per second. */
 	demand: number;
 	demandAt: number;
-	/** Tokens of an average request. */
+	/** Moving average of the tokens per request. */
 	requestTokens: number;
 	lastAskedAt: number;
-	/** The issuer must hear of a lowered share. */
-	confirm: boolean;
+	/** The issuer must be sent a wish soon: the share was lowered, or waiting requests were refused. */
+	needsWish: boolean;
 	waiters: Waiter[];
-	/** What the issuer last said of a claim that must wait. */
+	/** Last notice of the issuer about a claim that must wait. */
 	notice?: {ahead: number; rate: number; at: number};
 };
 
-// Room that is missing loses tokens, room too much only keeps a reserve from growing that is
-// nearly full anyway: so the estimate starts high, rises fast and falls slowly.
+// Too little room for returned tokens loses them; too much only keeps a nearly full reserve
+// from growing. So the estimate starts high, rises fast and falls slowly.
 const firstUnusedShare = 1;
 const risingWeight = 0.5;
 const fallingWeight = 0.03;
@@ -76,30 +76,30 @@
 		requestTokens: 0,
 		demandAt: now,
 		lastAskedAt: Number.NEGATIVE_INFINITY,
-		confirm: false,
+		needsWish: false,
 		waiters: [],
 	};
 }
 
 const msPerSecond = 1000;
-/** Milliseconds over which demand is averaged. */
-const demandMs = 5000;
-/** Milliseconds of growth that a holder leaves itself room for while a wish is under way. */
+/** Time constant of the demand average in milliseconds. */
+const demandWindowMs = 5000;
+/** Milliseconds of growth for which a holder keeps room while a wish is in flight. */
 const growthMs = 2000;
 const rateHeadroom = 1.2;
 const requestWeight = 0.1;
-/** Requests within the horizon from which on tokens are kept ready. */
-const leastRequestsAhead = 2;
+/** Minimum number of requests expected within the horizon for tokens to be prefetched. */
+const minPrefetchRequests = 2;
 
-/** Whether anything is held. */
+/** Whether the share has any rate or burst. */
 export function holdsAnything(share: HeldShare): boolean {
 	return share.level.rate > 0 || share.level.burst > 0;
 }
 
-/** Lets the level grow, or ends the share when its lease is over. */
+/** Refills the level, or empties the share if its lease has ended. */
 export function updateShare(share: HeldShare, now: number): void {
 	if (now >= share.leaseEnd) {
-		// Another daemon may have these tokens by now.
+		// These tokens may have been issued to another daemon by now.
 		share.level = emptyLevel(now);
 		return;
 	}
@@ -107,28 +107,28 @@
 	refill(share.level, now);
 }
 
-/** Counts tokens that a request asked for. */
+/** Adds the tokens of a request to the demand. */
 export function countDemand(share: HeldShare, tokens: number, now: number): void {
 	decayDemand(share, now);
-	share.demand += tokens * msPerSecond / demandMs;
+	share.demand += tokens * msPerSecond / demandWindowMs;
 	share.requestTokens += (tokens - share.requestTokens) * (share.requestTokens === 0 ? 1 : requestWeight);
 	share.lastAskedAt = now;
 }
 
-/** Learns from a request that ended how much of its reservation it used. */
+/** Settles a reservation and updates the estimate of unused tokens. */
 export function countSettled(share: HeldShare, reserved: number, used: number): void {
 	share.reserved -= reserved;
 	const unused = reserved > 0 ? Math.max(0, reserved - used) / reserved : 0;
 	share.unusedShare += (unused - share.unusedShare) * (unused > share.unusedShare ? risingWeight : fallingWeight);
 }
 
-/** Lets the average fall with time. */
+/** Decays the demand average to the time `now`. */
 export function decayDemand(share: HeldShare, now: number): void {
-	share.demand *= Math.exp((share.demandAt - now) / demandMs);
+	share.demand *= Math.exp((share.demandAt - now) / demandWindowMs);
 	share.demandAt = now;
 }
 
-/** Tokens that requests wait for. */
+/** Sum of the tokens that requests wait for. */
 export function waitingTokens(share: HeldShare): number {
 	let sum = 0;
 	for (const waiter of share.waiters) {
@@ -138,7 +138,7 @@
 	return sum;
 }
 
-/** Tokens that this holder keeps ready for its demand. */
+/** Tokens that this holder should prefetch for its demand. */
 export function targetTokens(share: HeldShare, settings: LimiterSettings, now: number): number {
 	decayDemand(share, now);
 	if (now >= share.lastAskedAt + settings.idleMs) {
@@ -146,11 +146,11 @@
 	}
 
 	const target = share.demand * settings.horizonMs / msPerSecond;
-	// Less than a few requests' worth would lie about unused, and cost two messages each way.
-	return target >= share.requestTokens * leastRequestsAhead ? target : 0;
+	// Tokens for fewer requests would mostly stay unused, and cost two messages each way.
+	return target >= share.requestTokens * minPrefetchRequests ? target : 0;
 }
 
-/** What a wish says of a share. */
+/** Fields of a wish that are computed from the share. */
 export type WishFigures = {
 	rate: number;
 	burst: number;
@@ -161,7 +161,7 @@
 	first: number;
 };
 
-/** Part of the burst share that neither tokens nor what will soon come in needs. */
+/** Part of the burst share that is needed neither for tokens nor for those expected soon. */
 export function emptyCapacity(share: HeldShare): number {
 	const {level} = share;
 	const expected = (level.rate * growthMs / msPerSecond) + (share.reserved * share.unusedShare);
@@ -169,24 +169,24 @@
 }
 
 /**
- * Lowers the share to what it needs and tells what it wants instead. The empty
- * part of the burst share goes back too, but for what growth and unused
- * reservations will soon fill: the issuer can only send tokens that fit into
- * what it adds.
+ * Lowers the share to what it needs and returns the fields of a wish for it. The
+ * empty part of the burst share is returned too, except for what growth and
+ * unused reservations will soon fill: the issuer can only send tokens that fit
+ * into the burst that it adds.
  */
-export function lowerAndWish(share: HeldShare, settings: LimiterSettings, now: number, isReport = false): WishFigures {
+export function prepareWish(share: HeldShare, settings: LimiterSettings, now: number, isReport = false): WishFigures {
 	updateShare(share, now);
 	const {level} = share;
 	const waiting = waitingTokens(share);
 	const idle = waiting === 0 && now >= share.lastAskedAt + settings.idleMs;
 	const target = targetTokens(share, settings, now);
 	const wantedRate = Math.ceil(target > 0 ? share.demand * rateHeadroom : 0);
-	// A new issuer has no place for tokens before it knows all holders.
+	// A new issuer cannot take tokens back before it knows all holders.
 	const surplus = isReport ? 0 : Math.floor(level.tokens - waiting - (target * 2));
-	// Overuse goes to the issuer as a debt, so that the whole workspace pays it back.
+	// Overuse is passed to the issuer as a debt, so that the whole workspace pays it back.
 	const returned = level.tokens < 0 ? Math.floor(level.tokens) : Math.max(0, surplus);
 	level.tokens -= returned;
-	// Until the wish arrives, the ledger's burst share must cover the tokens on their way too.
+	// Until the wish arrives, the burst recorded by the issuer must also cover the tokens in flight.
 	level.burst -= Math.max(0, returned);
 
 	if (idle) {
--- a/packages/router/src/lib/limits/issued-shards.ts
+++ b/packages/router/src/lib/limits/issued-shards.ts
@@ -1,4 +1,4 @@
-/** The shards that this process issues, and what the configuration asks of them. */
+/** The shards that this process issues, with the configured limits applied to them. */
 import {type PeerOrigin} from '../links/peer-link.js';
 import {type ShareRequest} from '../../gen/hickorywalk/v1/limits_pb.js';
 import {type LimitRows} from './limit-rows.js';
@@ -6,35 +6,35 @@
 import {type LivenessEvidence} from './liveness-evidence.js';
 import {type Outbox} from './outbox.js';
 import {createShardIssuer, type ShardIssuer} from './shard-issuer.js';
-import {type ShardKeeper, type TakenShard} from './shard-keeper.js';
+import {type ShardLeases, type TakenShard} from './shard-leases.js';
 import {shardOf} from './shard-map.js';
 
-/** What {@link createIssuedShards} needs. */
+/** Options of {@link createIssuedShards}. */
 export type IssuedShardsOptions = {
 	name: string;
 	settings: LimiterSettings;
 	evidence: LivenessEvidence;
 	outbox: Outbox;
 	rows: LimitRows;
-	/** Runs what a timer called for. */
+	/** Runs the callback of a timer. */
 	run: (callback: () => void) => void;
 	/** Configured limits by workspace. */
 	limits: () => ReadonlyMap<string, WorkspaceLimit>;
 };
 
-/** The collection. Methods that read or write the table throw `LimitsTableError`. */
+/** The issued shards. Methods that read or write the table throw `LimitsTableError`. */
 export type IssuedShards = {
 	has: (shard: number) => boolean;
 	generationOf: (shard: number) => number | undefined;
 	takeRequest: (origin: PeerOrigin, request: ShareRequest) => void;
-	/** The configuration changed. */
+	/** Applies the configured limits after a change. */
 	applyLimits: () => void;
 	tick: () => void;
-	/** Takes vacant shards, renews leases, drops shards that others issue. */
-	maintain: (keeper: ShardKeeper) => Promise<void>;
-	/** Gives all shards up; resolves with them. */
-	release: (keeper: ShardKeeper) => Promise<number[]>;
-	/** Shards whose holders are not all known yet. */
+	/** Takes vacant shards, renews leases, drops shards that other daemons issue. */
+	maintain: (shardLeases: ShardLeases) => Promise<void>;
+	/** Releases all shards; resolves with their numbers. */
+	release: (shardLeases: ShardLeases) => Promise<number[]>;
+	/** Number of shards whose holders are not all known yet. */
 	incomplete: () => number;
 	/** Stops all timers. */
 	close: () => void;
@@ -47,13 +47,13 @@
 export function createIssuedShards(options: IssuedShardsOptions): IssuedShards {
 	const {settings, rows, evidence} = options;
 	const issuers = new Map<number, ShardIssuer>();
-	/** Workspaces that the shard's row names as started. */
+	/** Workspaces with a limit here that their shard's row lists as started, or that are treated so. */
 	const started = new Set<string>();
 	let applied = new Set<string>();
 	let holders = new Set<string>();
 	let holdersReadAt = Number.NEGATIVE_INFINITY;
 	let renewedAt = performance.now();
-	let unwritten = false;
+	let hasUnwrittenWorkspaces = false;
 
 	async function readHolders(): Promise<void> {
 		const found = await rows.listHolders();
@@ -65,19 +65,19 @@
 		}
 	}
 
-	function begin(taken: TakenShard): void {
+	function startIssuer(taken: TakenShard): void {
 		const inherited = new Map(Object.entries(taken.before?.left ?? {}));
 		const startedBefore = new Set(taken.before?.started);
-		const fresh: WorkspaceLimit[] = [];
+		const shardLimits: WorkspaceLimit[] = [];
 		for (const limit of options.limits().values()) {
 			if (shardOf(limit.name, settings.shards) !== taken.shard) {
 				continue;
 			}
 
-			fresh.push(limit);
+			shardLimits.push(limit);
 			started.add(limit.name);
 			if (!startedBefore.has(limit.name)) {
-				// Nobody ever spent a token of it, so it may start full.
+				// No token of it was ever spent, so it may start with a full burst.
 				inherited.set(limit.name, limit.burstTokens);
 			}
 		}
@@ -86,7 +86,7 @@
 			...options, ...taken, holders, inherited,
 		});
 		issuers.set(taken.shard, issuer);
-		for (const limit of fresh) {
+		for (const limit of shardLimits) {
 			applied.add(limit.name);
 			issuer.setLimit(limit, false);
 		}
@@ -106,8 +106,8 @@
 				applied.add(limit.name);
 				issuer.setLimit(limit, false);
 			} else {
-				// Its row must name it first, or a successor would start it full again.
-				unwritten = true;
+				// The row must list it first, or a successor would start it with a full burst again.
+				hasUnwrittenWorkspaces = true;
 			}
 		}
 
@@ -120,7 +120,7 @@
 		applied = new Set([...applied].filter(name => limits.has(name)));
 	}
 
-	/** Gives limits to workspaces that were new in the rows just written, or could not be written. */
+	/** Sets the limits of new workspaces after their rows were written; those whose write failed start with an empty reserve. */
 	function startNew(wanted: string[], confirmed: ReadonlyMap<number, number>): void {
 		for (const name of wanted) {
 			const limit = options.limits().get(name);
@@ -134,9 +134,9 @@
 		}
 	}
 
-	async function renew(keeper: ShardKeeper): Promise<void> {
+	async function renew(shardLeases: ShardLeases): Promise<void> {
 		const now = performance.now();
-		if (!unwritten && now < renewedAt + (settings.leaseMs / renewalsPerLease)) {
+		if (!hasUnwrittenWorkspaces && now < renewedAt + (settings.leaseMs / renewalsPerLease)) {
 			return;
 		}
 
@@ -147,10 +147,10 @@
 			}
 		}
 
-		unwritten = false;
+		hasUnwrittenWorkspaces = false;
 		let confirmed = new Map<number, number>();
 		try {
-			confirmed = await keeper.renew([...issuers.keys()]);
+			confirmed = await shardLeases.renew([...issuers.keys()]);
 			renewedAt = now;
 		} finally {
 			for (const [shard, leaseEnd] of confirmed) {
@@ -161,10 +161,10 @@
 		}
 	}
 
-	function dropLost(keeper: ShardKeeper): void {
+	function dropLost(shardLeases: ShardLeases): void {
 		for (const [shard, issuer] of issuers) {
-			const row = keeper.watched(shard)?.row;
-			if (row && !keeper.isOurs(row)) {
+			const row = shardLeases.watched(shard)?.row;
+			if (row && !shardLeases.isOurs(row)) {
 				issuer.stop();
 				issuers.delete(shard);
 			}
@@ -186,7 +186,7 @@
 
 			for (const report of request.reports) {
 				if (report.generation === 0 && holders.has(origin.name)) {
-					// A daemon that knows no issuer, and that every successor will ask.
+					// A registered daemon that knows no issuer: every later issuer will call it too.
 					for (const issuer of issuers.values()) {
 						issuer.call(origin.name);
 					}
@@ -206,32 +206,32 @@
 				issuer.tick();
 			}
 		},
-		async maintain(keeper) {
-			dropLost(keeper);
-			const taken = await keeper.takeVacant();
-			// The list must be read after the row was written: a daemon that
-			// registers later finds the new generation in the row.
+		async maintain(shardLeases) {
+			dropLost(shardLeases);
+			const taken = await shardLeases.takeVacant();
+			// The holders must be read after the shard's row was written: a daemon
+			// that registers later finds the new generation in the row.
 			if (taken.length > 0 || performance.now() >= holdersReadAt + holderListMs) {
 				await readHolders();
 			}
 
 			for (const shard of taken) {
-				begin(shard);
+				startIssuer(shard);
 			}
 
 			if (issuers.size > 0) {
-				await renew(keeper);
-				dropLost(keeper);
+				await renew(shardLeases);
+				dropLost(shardLeases);
 			}
 		},
-		async release(keeper) {
+		async release(shardLeases) {
 			const left = new Map<number, Map<string, number>>();
 			for (const [shard, issuer] of issuers) {
 				left.set(shard, issuer.stop());
 			}
 
 			issuers.clear();
-			await keeper.release(left);
+			await shardLeases.release(left);
 			return [...left.keys()];
 		},
 		close() {
--- a/packages/router/src/lib/limits/known-issuers.ts
+++ b/packages/router/src/lib/limits/known-issuers.ts
@@ -1,18 +1,18 @@
-/** Which daemon issues the shares of each shard, as far as this one knows. */
+/** The issuer of each shard as far as this daemon knows. */
 import {type KnownIssuer} from './wish-sender.js';
 
-/** The record. */
+/** Known issuers by shard. */
 export type KnownIssuers = {
 	of: (shard: number) => KnownIssuer | undefined;
-	/** Follows the issuer with the highest generation and never goes back; whether it was news. */
+	/** Records an issuer if its generation is the highest so far; returns whether it did. */
 	adopt: (shard: number, found: KnownIssuer) => boolean;
 	/** Whether each of these shards has a known issuer. */
 	hasAll: (shards: Iterable<number>) => boolean;
-	/** Names of the issuers of these shards. */
+	/** Names of the known issuers of these shards. */
 	names: (shards: Iterable<number>) => Set<string>;
 };
 
-/** Opens an empty record. */
+/** Creates a record without issuers. */
 export function createKnownIssuers(): KnownIssuers {
 	const known = new Map<number, KnownIssuer>();
 
--- a/packages/router/src/lib/limits/limit-rows.ts
+++ b/packages/router/src/lib/limits/limit-rows.ts
@@ -1,4 +1,4 @@
-/** The rows that the limits keep in the table, and how they are written. */
+/** Reads and writes the limits' rows in the table. */
 import {z} from 'zod';
 import {type TableClient, type TableRow, type TableWrite} from '../platform/platform.js';
 import {LimitsRowError, LimitsTableError} from './limits-errors.js';
@@ -13,38 +13,38 @@
 	generation: z.number().int(),
 	/** Daemon that issues the shard's shares; empty after a graceful stop. */
 	issuer: z.string(),
-	/** Its process, in decimal. */
+	/** Incarnation of the issuing process, in decimal. */
 	incarnation: z.string(),
 	/** Grows with each renewal of the issuer's lease. */
 	renewal: z.number().int(),
-	/** Workspaces of the shard that ever had tokens: these never start full again. */
+	/** Workspaces of the shard that ever had tokens: they never start with a full burst again. */
 	started: z.array(z.string()),
 	/** Tokens that a stopping issuer left in its reserve, by workspace. */
 	left: z.record(z.string(), z.number()).default({}),
 });
 
-/** Who issues the shares of one shard. */
+/** Row of a shard: its issuer and lease. */
 export type ShardRow = z.infer<typeof shardSchema>;
 
 const holderSchema = z.object({
-	/** Process that last wrote the row, in decimal. */
+	/** Incarnation of the process that last wrote the row, in decimal. */
 	incarnation: z.string(),
-	/** Newest version of the VM list in which that process saw its own VM; 0 when none. */
+	/** Newest version of the VM list in which that process saw its own VM; 0 if none. */
 	listedIn: z.number().int(),
 });
 
-/** A daemon that may hold shares. An issuer asks all of them before it issues anew. */
+/** Row of a daemon that may hold shares. A new issuer calls on all of them to report. */
 export type HolderRow = z.infer<typeof holderSchema>;
 
 /** A parsed row with the version that the table gave it. */
 export type Versioned<Row> = {row: Row; version: number};
 
-/** Reads and writes of the limits' rows. Every method throws {@link LimitsTableError}. */
+/** Access to the limits' rows. Every method throws {@link LimitsTableError}, or {@link LimitsRowError} for a row in an unsupported layout. */
 export type LimitRows = {
 	listShards: () => Promise<Map<number, Versioned<ShardRow>>>;
 	listHolders: () => Promise<Map<string, HolderRow>>;
 	writeHolder: (name: string, row: HolderRow) => Promise<void>;
-	/** Writes the rows whose version still stands; returns what each shard's row is afterwards. */
+	/** Writes the rows whose version still matches; returns each shard's row afterwards. */
 	writeShards: (writes: ShardWrite[]) => Promise<Map<number, Versioned<ShardRow>>>;
 };
 
@@ -52,13 +52,13 @@
 export type ShardWrite = {
 	shard: number;
 	row: ShardRow;
-	/** 0 when the row must be absent. */
+	/** Version that the row must have; 0 if it must be absent. */
 	ifVersion: number;
 };
 
 const keyOf = (shard: number) => shardPrefix + String(shard).padStart(shardDigits, '0');
 
-/** Most writes that the table takes in one transaction. */
+/** Maximum number of writes in one transaction of the table. */
 export const writesPerTransaction = 25;
 
 /** Creates the reader and writer over a table. */
@@ -128,7 +128,7 @@
 			try {
 				await commit(writes, done);
 			} catch {
-				// The answer may have been lost after the write: the rows tell.
+				// The write may have taken effect although its answer was lost: the rows are read below.
 			}
 
 			for (const write of writes) {
@@ -149,7 +149,7 @@
 	try {
 		return schema.parse(JSON.parse(row.value));
 	} catch (error) {
-		throw new LimitsRowError(`The row ${row.key} has a layout that this build does not know. Upgrade the daemon.`, {cause: error});
+		throw new LimitsRowError(`Row ${row.key} has a layout that this build does not support. Upgrade the daemon.`, {cause: error});
 	}
 }
 
@@ -161,6 +161,6 @@
 			throw error;
 		}
 
-		throw new LimitsTableError(`The table gave no answer while ${what}. It is tried again.`, {cause: error});
+		throw new LimitsTableError(`The table failed while ${what}. The operation is retried.`, {cause: error});
 	}
 }
--- a/packages/router/src/lib/limits/limiter-settings.ts
+++ b/packages/router/src/lib/limits/limiter-settings.ts
@@ -1,55 +1,55 @@
-/** Settings of the token limiter with their defaults. */
+/** Settings of the token limiter and their defaults. */
 
-/** Every daemon of a fleet must run with the same values. */
+/** Settings of the limiter. All daemons of a fleet must use the same values. */
 export type LimiterSettings = {
-	/** Number of shards that workspaces are spread over; fixed for the life of a fleet. */
+	/** Number of shards that workspaces are hashed to; must not change during the life of a fleet. */
 	shards: number;
 	/**
-	 * Milliseconds for which a holder or issuer may act on its shares after it
-	 * last heard from its issuer or the table: the longest outage ridden out.
+	 * Milliseconds for which a holder or issuer may use its shares after its last
+	 * answer from the issuer or the table: the longest outage that is bridged.
 	 */
 	leaseMs: number;
 	/**
-	 * Milliseconds by which a holder stops before its lease ends and a successor
-	 * waits after it. Covers a pause between the check and the use, and drift of
-	 * the monotonic clock over one lease.
+	 * Milliseconds by which a holder stops before the end of its lease, and which
+	 * a successor waits after that end. Covers a pause between check and use, and
+	 * drift of the monotonic clock over one lease.
 	 */
 	marginMs: number;
 	/** Milliseconds between two calls of `tick`. */
 	tickMs: number;
-	/** Milliseconds for which messages to peers are collected into one batch. */
+	/** Milliseconds over which messages to a peer are batched. */
 	flushMs: number;
-	/** Milliseconds after which an issuer that does not answer a claim counts as silent. */
+	/** Milliseconds that a request waits for an answer of the issuer before it is refused. */
 	askTimeoutMs: number;
-	/** Milliseconds between repeats of a message that got no answer. */
+	/** Milliseconds between repeats of an unanswered message. */
 	resendMs: number;
-	/** Milliseconds between two readings of the table's rows. */
+	/** Milliseconds between two reads of the table's rows. */
 	refreshMs: number;
-	/** Milliseconds of its own demand that a holder keeps ready. */
+	/** Milliseconds of its demand for which a holder prefetches tokens. */
 	horizonMs: number;
-	/** Milliseconds without demand after which a holder gives its shares back. */
+	/** Milliseconds without demand after which a holder returns its shares. */
 	idleMs: number;
-	/** Part of an issuer's spare tokens and rate that one wish may take ahead of demand. */
+	/** Fraction of an issuer's spare tokens and rate that one wish may prefetch. */
 	prefetchShare: number;
-	/** Part of a workspace's burst that a holder may keep empty. */
+	/** Fraction of a workspace's burst that a holder may hold as empty capacity. */
 	trimShare: number;
-	/** Fill of the reserve, as a part of the burst, below which nothing goes out ahead of demand. */
+	/** Level of the reserve, as a fraction of the burst, below which nothing is prefetched. */
 	scarceShare: number;
-	/** Most of a workspace's rate that holders may have; the rest grows at the issuer. */
+	/** Largest fraction of a workspace's rate that holders may get; the rest fills the issuer's reserve. */
 	rateOutShare: number;
 	/**
 	 * Whether a VM that was in the platform's list and is missing from a later
-	 * version of it counts as stopped. When false, only time ends its shares.
+	 * version counts as stopped. If false, its shares end only with their lease.
 	 */
 	trustDepartures: boolean;
 	/**
-	 * Whether a new process of a daemon proves that the old one has ended,
-	 * because both need the same peer port. When false, only time ends its shares.
+	 * Whether a new process of a daemon proves that the old one has ended, because
+	 * both bind the same peer port. If false, its shares end only with their lease.
 	 */
 	trustRestarts: boolean;
 };
 
-/** What runs when nothing else is asked for. */
+/** Default settings. */
 export const defaultLimiterSettings: LimiterSettings = {
 	shards: 256,
 	leaseMs: 90 * 60 * 1000,
@@ -73,13 +73,13 @@
 export type WorkspaceLimit = {
 	/** Name of the workspace. */
 	name: string;
-	/** Rate in tokens a second. */
+	/** Rate in tokens per second. */
 	tokensPerSecond: number;
 	/** Burst in tokens. */
 	burstTokens: number;
 };
 
-/** A daemon that shares can be exchanged with. */
+/** A daemon to exchange shares with. */
 export type LimiterPeer = {
 	/** Name of the daemon, which is also the name of its VM. */
 	name: string;
--- a/packages/router/src/lib/limits/limits-errors.ts
+++ b/packages/router/src/lib/limits/limits-errors.ts
@@ -1,12 +1,12 @@
 /** Errors of the limits layer. */
 import {LayerError} from '../errors/layer-error.js';
 
-/** The table could not be used for the limits' rows. Tried again at the next tick. */
+/** Reading or writing the limits' rows in the table failed. The operation is retried by a later tick. */
 export class LimitsTableError extends LayerError {
 	readonly code = 'limits_table';
 }
 
-/** A row that another build wrote in a layout that this one does not know. */
+/** A row has a layout that this build does not support; another build wrote it. */
 export class LimitsRowError extends LayerError {
 	readonly code = 'limits_row';
 }
--- a/packages/router/src/lib/limits/liveness-evidence.ts
+++ b/packages/router/src/lib/limits/liveness-evidence.ts
@@ -1,40 +1,39 @@
 /**
- * Evidence that a process has ended, which frees its shares before its lease
- * ends.
+ * Evidence that a process has ended, so that its shares can be reused before its
+ * lease ends.
  *
- * Two facts count, and both are assumptions about the platform that settings
- * can turn off. A VM that was in the platform's list and is missing from a
- * later version runs nothing any more, and its name is not given to another
- * VM. A daemon binds a fixed peer port without sharing it, so a new process of
- * the same name proves that the old one has ended, also if it was paused.
- * A VM that was never seen in the list proves nothing by its absence: it may
- * be too new.
+ * There are two kinds of evidence. Both rest on assumptions about the platform
+ * and can be turned off by settings. A VM that was in the platform's list and is
+ * missing from a later version runs nothing any more, and its name is not reused
+ * for another VM. A daemon binds a fixed peer port exclusively, so a new process
+ * of the same name proves that the old one has ended, even if it was paused. The
+ * absence of a VM that was never listed proves nothing: the VM may be too new.
  */
 import {type VmList} from '../platform/platform.js';
 
-/** What {@link createLivenessEvidence} needs to know. */
+/** Which evidence counts; see `LimiterSettings`. */
 export type LivenessEvidenceOptions = {
 	trustDepartures: boolean;
 	trustRestarts: boolean;
 };
 
-/** Collects what is known of daemons' processes. */
+/** Collected evidence about the processes of daemons. */
 export type LivenessEvidence = {
-	/** News from the platform's list; an older version than the last one changes nothing. */
+	/** Passes in a version of the platform's list; a version that is not newer than the last is ignored. */
 	observeList: (list: VmList) => void;
-	/** Somebody saw the VM in this version of the list. */
+	/** Records that a daemon saw the VM in this version of the list. */
 	observeListed: (name: string, version: number) => void;
-	/** A process of this daemon was heard of. */
+	/** Records that a process of this daemon exists or existed. */
 	observeProcess: (name: string, incarnation: bigint) => void;
-	/** Whether this process can do nothing any more. */
+	/** Whether this process is known to have ended. */
 	hasEnded: (name: string, incarnation: bigint) => boolean;
-	/** Whether the VM is known to be gone. */
+	/** Whether the VM is known to have left the list. */
 	isGone: (name: string) => boolean;
-	/** The newest list in which the VM was seen; 0 when none. */
+	/** Newest version of the list in which the VM was seen; 0 if none. */
 	listedIn: (name: string) => number;
 };
 
-/** Creates an empty collection of evidence. */
+/** Creates a collection without evidence. */
 export function createLivenessEvidence(options: LivenessEvidenceOptions): LivenessEvidence {
 	const lastListed = new Map<string, number>();
 	const processes = new Map<string, bigint>();
--- a/packages/router/src/lib/limits/outbox.ts
+++ b/packages/router/src/lib/limits/outbox.ts
@@ -1,4 +1,4 @@
-/** Collects what goes to each peer, so that a flush sends one message of a kind to each. */
+/** Batches messages to peers: a flush sends at most one request and one transfer to each peer. */
 import {create} from '@bufbuild/protobuf';
 import {
 	type ShardCall, type ShardReport, type ShareGrant, type ShareNotice, ShareRequestSchema, ShareTransferSchema, type ShareWish,
@@ -13,18 +13,18 @@
 	calls: ShardCall[];
 };
 
-/** Where the parts of the limiter put what they have to say. */
+/** Outgoing message parts of the limiter. */
 export type Outbox = {
 	wish: (to: string, wish: ShareWish) => void;
 	report: (to: string, report: ShardReport) => void;
 	grant: (to: string, incarnation: bigint, grant: ShareGrant) => void;
 	notice: (to: string, incarnation: bigint, notice: ShareNotice) => void;
 	call: (to: string, call: ShardCall) => void;
-	/** Sends everything, at once. */
+	/** Sends everything that was collected. */
 	flush: () => void;
 };
 
-/** `wake` is called when the first part after a flush comes in. */
+/** Creates an empty outbox; `wake` is called when the first part for a peer is added, so that a flush can be scheduled. */
 export function createOutbox(send: SendToPeer, wake: () => void): Outbox {
 	let requests = new Map<string, RequestParts>();
 	let transfers = new Map<string, TransferParts>();
@@ -50,7 +50,7 @@
 			wake();
 		}
 
-		// A newer process of the same daemon: what was meant for the old one is void.
+		// A newer process of the same daemon: grants and notices for the old one are void.
 		if (incarnation > parts.incarnation) {
 			parts.incarnation = incarnation;
 			parts.grants = [];
--- a/packages/router/src/lib/limits/line-timers.ts
+++ b/packages/router/src/lib/limits/queue-timers.ts
@@ -1,29 +1,29 @@
-/** One timer for each waiting line, set to the next moment at which it changes by itself. */
+/** Timers of the wait queues, one per workspace, each set to the next time at which its queue changes. */
 import {type HeldShare} from './held-share.js';
-import {nextLineEvent} from './waiting-line.js';
+import {nextQueueEvent} from './wait-queue.js';
 
-/** Options of {@link createLineTimers}. */
-export type LineTimersOptions = {
-	/** Runs what a timer called for. */
+/** Options of {@link createQueueTimers}. */
+export type QueueTimersOptions = {
+	/** Runs the callback of a timer. */
 	run: (callback: () => void) => void;
-	/** The line of this share is due. */
+	/** Called when the queue of this share must be processed. */
 	onDue: (share: HeldShare) => void;
 };
 
-/** The timers. */
-export type LineTimers = {
-	/** Sets the timer of a share anew; one that stands right is left. */
+/** Timers of the queues of all shares. */
+export type QueueTimers = {
+	/** Sets the timer of a share; a timer that is already set to the right time stays. */
 	arm: (share: HeldShare, now: number) => void;
 	clear: () => void;
 };
 
-/** Creates timers; none runs yet. */
-export function createLineTimers({run, onDue}: LineTimersOptions): LineTimers {
+/** Creates the timers; none is set at first. */
+export function createQueueTimers({run, onDue}: QueueTimersOptions): QueueTimers {
 	const timers = new Map<string, {timer: NodeJS.Timeout; at: number}>();
 
 	return {
 		arm(share, now) {
-			const at = nextLineEvent(share, now);
+			const at = nextQueueEvent(share, now);
 			const armed = timers.get(share.workspace);
 			if (armed?.at === at) {
 				return;
--- a/packages/router/src/lib/limits/shard-issuer.ts
+++ b/packages/router/src/lib/limits/shard-issuer.ts
@@ -1,26 +1,26 @@
 /**
- * Issues the shares of one shard's workspaces. One daemon at a time does, by
- * a lease on the shard's row in the table.
+ * Issues the shares of one shard's workspaces. A lease on the shard's row in the
+ * table ensures that only one daemon does so at a time.
  *
- * A new issuer knows nothing of who holds what. It calls all registered
- * daemons for reports and until every one has reported, is known to have
- * ended, or must have let its lease lapse, it gives out only what came back to
- * itself. Holders go on with what they have meanwhile.
+ * A new issuer does not know the holders. It calls on all registered daemons to
+ * report. Until each of them has reported, is known to have ended, or can only
+ * have expired leases, the issuer grants only what was returned to itself.
+ * Meanwhile the holders continue to use their shares.
  */
 import {create} from '@bufbuild/protobuf';
 import {
 	ShardCallSchema, ShareGrantSchema, type ShareWish,
 } from '../../gen/hickorywalk/v1/limits_pb.js';
 import {type PeerOrigin} from '../links/peer-link.js';
-import {createClaimLine} from './claim-line.js';
+import {createClaimQueue} from './claim-queue.js';
 import {type LimiterSettings, type WorkspaceLimit} from './limiter-settings.js';
 import {type LivenessEvidence} from './liveness-evidence.js';
 import {type Outbox} from './outbox.js';
 import {
-	type Claim, createShareAccount, dropHolding, giveShare, type Holding, setHolding, type ShareAccount, updateReserve,
+	type Claim, createShareAccount, dropHolding, grantShare, type Holding, setHolding, type ShareAccount, updateReserve,
 } from './share-account.js';
 
-/** What {@link createShardIssuer} needs. */
+/** Options of {@link createShardIssuer}. */
 export type ShardIssuerOptions = {
 	shard: number;
 	generation: number;
@@ -28,14 +28,14 @@
 	name: string;
 	/** Registered daemons, each of which may hold shares of earlier issuers. */
 	holders: Iterable<string>;
-	/** Tokens that each workspace starts with once all holders are known. */
+	/** Tokens added to the reserve of each workspace once all holders are known. */
 	inherited: ReadonlyMap<string, number>;
 	/** `performance.now()` until which the lease allows issuing. */
 	leaseEnd: number;
 	settings: LimiterSettings;
 	evidence: LivenessEvidence;
 	outbox: Outbox;
-	/** Runs what a timer called for; tests hold it back while a daemon is paused. */
+	/** Runs the callback of a timer; tests defer it while a daemon is paused. */
 	run: (callback: () => void) => void;
 };
 
@@ -43,28 +43,28 @@
 export type ShardIssuer = {
 	readonly generation: number;
 	extendLease: (leaseEnd: number) => void;
-	/** Takes in one wish and answers it by a grant or a notice. */
+	/** Processes one wish and answers it with a grant or a notice. */
 	takeWish: (origin: PeerOrigin, wish: ShareWish) => void;
-	/** The daemon has listed all that it holds of this shard. */
+	/** Processes the report of a daemon that has now listed all that it holds of this shard. */
 	takeReport: (origin: PeerOrigin) => void;
-	/** A workspace whose limit is new here; `fresh` when it never had tokens before. */
-	setLimit: (limit: WorkspaceLimit, fresh: boolean) => void;
-	/** The workspace is no longer configured: all of its shares are called back. */
+	/** Sets the limit of a workspace; `isNew` if the workspace never had tokens before, so that it starts with a full burst. */
+	setLimit: (limit: WorkspaceLimit, isNew: boolean) => void;
+	/** Removes the limit of a workspace that is no longer configured: all its shares are called back. */
 	removeLimit: (workspace: string) => void;
-	/** Serves claims, ends lapsed holdings and repeats calls. */
+	/** Serves claims, drops holdings that have ended and repeats calls. */
 	tick: () => void;
-	/** Gives nothing out any more; returns the tokens left in each reserve. */
+	/** Stops issuing; returns the tokens left in each reserve. */
 	stop: () => Map<string, number>;
 	/** Whether every possible holder is known. */
 	isComplete: () => boolean;
-	/** Asks a daemon for a report. */
+	/** Calls on a daemon to report. */
 	call: (name: string) => void;
 };
 
-/** Milliseconds between two searches for holders that have ended. */
+/** Milliseconds between two checks for holders that have ended. */
 const endHoldingsMs = 1000;
 
-/** Creates an issuer whose lease was just confirmed by the table. */
+/** Creates an issuer. The table must have confirmed its lease. */
 export function createShardIssuer(options: ShardIssuerOptions): ShardIssuer {
 	const {settings, evidence, outbox, generation, shard} = options;
 	const startedAt = performance.now();
@@ -72,7 +72,7 @@
 	const accounts = new Map<string, ShareAccount>();
 	let {leaseEnd} = options;
 	let stopped = false;
-	let endedAt = Number.NEGATIVE_INFINITY;
+	let holdingsCheckedAt = Number.NEGATIVE_INFINITY;
 	let calledAt = Number.NEGATIVE_INFINITY;
 
 	const holderLeaseMs = settings.leaseMs + settings.marginMs;
@@ -93,12 +93,12 @@
 		updateReserve(account, isComplete(), performance.now());
 	}
 
-	const claims = createClaimLine({
+	const claims = createClaimQueue({
 		generation, settings, outbox, refresh, answer, isComplete, mayIssue, run: options.run,
 	});
 
 	function answer(account: ShareAccount, name: string, claim: Claim): void {
-		const given = giveShare(account, name, claim, settings);
+		const given = grantShare(account, name, claim, settings);
 		const holding = account.holdings.get(name);
 		if (!holding) {
 			return;
@@ -112,21 +112,21 @@
 		refresh(account);
 	}
 
-	function isNews(origin: PeerOrigin, wish: ShareWish, before: Holding): boolean {
+	function isNewer(origin: PeerOrigin, wish: ShareWish, before: Holding): boolean {
 		if (origin.incarnation === before.incarnation) {
 			return wish.sequence > before.sequence;
 		}
 
-		// With time alone to rely on, the old process may still run until its lease ends.
+		// If restarts prove nothing, the old process may run until its lease ends.
 		return settings.trustRestarts && origin.incarnation > before.incarnation;
 	}
 
 	/**
-	 * Tokens that a wish puts back into the reserve. They must still stand in the
-	 * ledger: a wish that comes after the holder was taken off it brings back
-	 * tokens whose place was issued anew, and these would be spent twice.
+	 * Tokens that a wish returns to the reserve. The account must still record
+	 * them: if the holder was dropped before the wish arrived, its tokens may have
+	 * been issued again, and crediting them would let them be spent twice.
 	 */
-	function comingBack(origin: PeerOrigin, wish: ShareWish, before: Holding | undefined): number {
+	function returnedTokens(origin: PeerOrigin, wish: ShareWish, before: Holding | undefined): number {
 		if (before?.incarnation !== origin.incarnation) {
 			return unreported.has(origin.name) ? wish.returned : Math.min(0, wish.returned);
 		}
@@ -135,7 +135,7 @@
 		return Math.min(before.burst - wish.burst, wish.returned + unapplied);
 	}
 
-	/** The wish came again: its answer may be lost. It is sent as it was, so it moves nothing twice. */
+	/** Answers a repeated wish, whose answer may be lost. The same grant is sent again, so nothing is granted twice. */
 	function repeatAnswer(account: ShareAccount, name: string, holding: Holding): void {
 		if (holding.grant) {
 			outbox.grant(name, holding.incarnation, holding.grant);
@@ -159,7 +159,7 @@
 		}
 	}
 
-	/** Takes holders off the ledger that can do nothing with their shares any more. */
+	/** Drops the holdings of daemons that have ended or whose leases have ended. */
 	function endHoldings(now: number): void {
 		for (const name of unreported) {
 			if (evidence.isGone(name) || now >= startedAt + holderLeaseMs) {
@@ -191,7 +191,7 @@
 		calledAt = now;
 		const due = new Set(unreported);
 		for (const account of accounts.values()) {
-			if (account.rateOut > account.wholeRate || account.burstOut > account.wholeBurst) {
+			if (account.heldRate > account.limitRate || account.heldBurst > account.limitBurst) {
 				for (const name of account.holdings.keys()) {
 					due.add(name);
 				}
@@ -203,10 +203,10 @@
 		}
 	}
 
-	function setWhole(account: ShareAccount, rate: number, burst: number): void {
+	function updateLimit(account: ShareAccount, rate: number, burst: number): void {
 		refresh(account);
-		account.wholeRate = rate;
-		account.wholeBurst = burst;
+		account.limitRate = rate;
+		account.limitBurst = burst;
 		refresh(account);
 	}
 
@@ -222,7 +222,7 @@
 
 			const account = accountOf(wish.workspace);
 			const before = account.holdings.get(origin.name);
-			if (before && !isNews(origin, wish, before)) {
+			if (before && !isNewer(origin, wish, before)) {
 				if (origin.incarnation === before.incarnation && wish.sequence === before.sequence) {
 					repeatAnswer(account, origin.name, before);
 				}
@@ -239,7 +239,7 @@
 				answeredAt: performance.now(),
 			});
 			refresh(account);
-			account.reserve.tokens = Math.min(account.reserve.burst, account.reserve.tokens + comingBack(origin, wish, before));
+			account.reserve.tokens = Math.min(account.reserve.burst, account.reserve.tokens + returnedTokens(origin, wish, before));
 			const claim: Claim = {
 				tokens: wish.claim,
 				first: wish.first,
@@ -261,7 +261,7 @@
 			claims.serve(account);
 		},
 		takeReport(origin) {
-			// With time alone to rely on, an older process of that name may still hold shares.
+			// If restarts prove nothing, an older process of that name may still hold shares.
 			if (!mayIssue() || !settings.trustRestarts || evidence.isGone(origin.name)) {
 				return;
 			}
@@ -274,19 +274,19 @@
 				claims.notifyAll(account);
 			}
 		},
-		setLimit(limit, fresh) {
+		setLimit(limit, isNew) {
 			const account = accountOf(limit.name);
-			if (fresh) {
+			if (isNew) {
 				account.inherited = limit.burstTokens;
 			}
 
-			setWhole(account, limit.tokensPerSecond, limit.burstTokens);
+			updateLimit(account, limit.tokensPerSecond, limit.burstTokens);
 			calledAt = Number.NEGATIVE_INFINITY;
 		},
 		removeLimit(workspace) {
 			const account = accounts.get(workspace);
 			if (account) {
-				setWhole(account, 0, 0);
+				updateLimit(account, 0, 0);
 			}
 		},
 		tick() {
@@ -295,8 +295,8 @@
 			}
 
 			const now = performance.now();
-			if (now >= endedAt + endHoldingsMs) {
-				endedAt = now;
+			if (now >= holdingsCheckedAt + endHoldingsMs) {
+				holdingsCheckedAt = now;
 				endHoldings(now);
 			}
 
--- a/packages/router/src/lib/limits/shard-keeper.ts
+++ b/packages/router/src/lib/limits/shard-leases.ts
@@ -1,10 +1,10 @@
 /**
- * Keeps the shards' rows in the table: finds out who issues which shard, takes
- * shards that nobody issues, renews the leases of its own.
+ * Leases on shards, stored as rows in the table: reads which daemon issues which
+ * shard, takes vacant shards, renews and releases the leases of this process.
  *
- * A lease counts from before the write that renewed it was sent, and a watcher
- * counts it from after it read the row, each by its own monotonic clock: the
- * issuer stops before anyone else may begin.
+ * The issuer counts its lease from before the write that renewed it was sent; a
+ * watcher counts it from after it read the row. Each uses its own monotonic
+ * clock, so the issuer stops before any other daemon may begin.
  */
 import {type LimiterSettings} from './limiter-settings.js';
 import {
@@ -13,60 +13,60 @@
 import {type LivenessEvidence} from './liveness-evidence.js';
 import {type HashedName, rankOf} from './shard-map.js';
 
-/** One shard's row as last read, and since when it has stood unchanged. */
+/** Last known row of a shard, and since when it has been unchanged. */
 export type WatchedShard = Versioned<ShardRow> & {unchangedSince: number};
 
-/** What {@link createShardKeeper} needs. */
-export type ShardKeeperOptions = {
+/** Options of {@link createShardLeases}. */
+export type ShardLeasesOptions = {
 	name: string;
 	incarnation: bigint;
 	settings: LimiterSettings;
 	rows: LimitRows;
 	evidence: LivenessEvidence;
-	/** Every daemon that could issue, this one included. */
+	/** All daemons that may issue shards, including this one. */
 	candidates: () => HashedName[];
-	/** Workspaces by shard, as configured. */
+	/** Configured workspaces by shard. */
 	workspacesOf: () => Map<number, string[]>;
-	/** Newest generation of a shard that peers named. */
+	/** Newest generation of a shard known from peers or the table; 0 if none. */
 	generationOf: (shard: number) => number;
-	/** Shards that this process issues. */
+	/** Whether this process issues the shard. */
 	isIssuing: (shard: number) => boolean;
 };
 
-/** A shard that this process has just taken. */
+/** A shard that this process has just taken over. */
 export type TakenShard = {
 	shard: number;
 	generation: number;
 	leaseEnd: number;
-	/** Row before the change of issuer. */
+	/** Row before the takeover. */
 	before: ShardRow | undefined;
 };
 
-/** The keeper. Methods that write throw `LimitsTableError`. */
-export type ShardKeeper = {
+/** Shard leases. Methods that read or write the table throw `LimitsTableError`. */
+export type ShardLeases = {
 	watched: (shard: number) => WatchedShard | undefined;
-	/** Reads all rows anew. */
+	/** Reads all rows again. */
 	refresh: () => Promise<void>;
-	/** Takes vacant shards whose turn it is for this daemon. */
+	/** Takes the vacant shards for which it is this daemon's turn. */
 	takeVacant: () => Promise<TakenShard[]>;
-	/** Renews the leases of these shards; returns those that stand with their new end. */
+	/** Renews the leases of these shards; returns the new end of each lease that was renewed. */
 	renew: (shards: number[]) => Promise<Map<number, number>>;
 	/** Whether a row names this process as the issuer. */
 	isOurs: (row: ShardRow) => boolean;
-	/** Gives shards up, with the tokens left in their reserves. */
+	/** Releases shards; `left` has the tokens left in the reserves by shard and workspace. */
 	release: (left: Map<number, Map<string, number>>) => Promise<void>;
 };
 
-/** Milliseconds for which each daemon gives way to those that rank before it. */
-const stepAsideMs = 1000;
-const mostSteps = 5;
+/** Milliseconds that a daemon waits before a takeover for each daemon ranked before it. */
+const takeoverStepMs = 1000;
+const maxTakeoverSteps = 5;
 
-/** Creates the keeper; it does nothing on its own. */
-export function createShardKeeper(options: ShardKeeperOptions): ShardKeeper {
+/** Creates the leases; nothing runs until a method is called. */
+export function createShardLeases(options: ShardLeasesOptions): ShardLeases {
 	const {name, incarnation, settings, rows, evidence} = options;
 	const watchedShards = new Map<number, WatchedShard>();
 	const vacantSince = new Map<number, number>();
-	// Never used twice, so that a row tells which attempt wrote it.
+	// Never reused, so that a row identifies the attempt that wrote it.
 	let attempt = 0;
 
 	const isOurs = (row: ShardRow) => row.issuer === name && row.incarnation === String(incarnation);
@@ -83,7 +83,7 @@
 	function isVacant(shard: number): boolean {
 		const known = watchedShards.get(shard);
 		if (options.generationOf(shard) > (known?.row.generation ?? 0)) {
-			// Somebody took it since the last reading, which says nothing any more.
+			// Another daemon took it since the last read, so the row read is out of date.
 			return false;
 		}
 
@@ -92,7 +92,7 @@
 		}
 
 		if (isOurs(known.row)) {
-			// A write of ours took effect after it was given up.
+			// A write of this process took effect after it had been treated as failed.
 			return !options.isIssuing(shard);
 		}
 
@@ -105,12 +105,12 @@
 		const since = vacantSince.get(shard) ?? now;
 		vacantSince.set(shard, since);
 		if (watchedShards.get(shard)?.row.issuer === name) {
-			// An earlier process of this daemon issued it: nobody has better evidence of its end.
+			// An earlier process of this daemon issued it, and this daemon knows best that it has ended.
 			return true;
 		}
 
 		const rank = rankOf(shard, name, candidates);
-		return now >= since + (Math.min(rank, mostSteps) * stepAsideMs);
+		return now >= since + (Math.min(rank, maxTakeoverSteps) * takeoverStepMs);
 	}
 
 	async function writeAll(writes: ShardWrite[]): Promise<ShardWrite[]> {
--- a/packages/router/src/lib/limits/shard-map.ts
+++ b/packages/router/src/lib/limits/shard-map.ts
@@ -1,4 +1,4 @@
-/** Which shard a workspace belongs to, and which daemon should issue its shares. */
+/** Maps workspaces to shards, and ranks the daemons that may issue a shard. */
 import xxhash from 'xxhash-wasm';
 
 const {h32} = await xxhash();
@@ -8,7 +8,7 @@
 	return h32(workspace) % shards;
 }
 
-/** A daemon's name with its hash, worked out once for all shards. */
+/** A daemon's name with its hash, computed once for all shards. */
 export type HashedName = {name: string; hash: number};
 
 const scorePrime = 4_294_967_291;
@@ -24,7 +24,7 @@
 	return hashed;
 }
 
-/** Score of rendezvous hashing. The product stays below 2 ** 53, so it is exact. */
+/** Rendezvous hashing score. The product stays below 2 ** 53, so it is exact. */
 function scoreOf(shard: number, {hash}: HashedName): number {
 	return (hash * (firstFactor + (2 * shard))) % scorePrime;
 }
@@ -34,7 +34,7 @@
 	return difference > 0 || (difference === 0 && a.name < b.name);
 }
 
-/** How many daemons should rather take the shard than this one. */
+/** Number of daemons that precede this one in the order of takeover of a shard. */
 export function rankOf(shard: number, name: string, daemons: readonly HashedName[]): number {
 	const own = {name, hash: h32(name)};
 	let rank = 0;
@@ -45,7 +45,7 @@
 	return rank;
 }
 
-/** Daemons in the order in which they should take a shard. */
+/** Daemons in the order in which they should take over a shard. */
 export function rankDaemons(shard: number, daemons: readonly HashedName[]): string[] {
 	return daemons.toSorted((a, b) => isBefore(shard, a, b) ? -1 : 1).map(daemon => daemon.name);
 }
--- a/packages/router/src/lib/limits/share-account.ts
+++ b/packages/router/src/lib/limits/share-account.ts
@@ -1,70 +1,69 @@
 /**
- * The ledger of one workspace at its issuer: who holds which part of the rate
- * and burst, and the reserve that nobody holds.
+ * The account of one workspace at its issuer: which daemon holds which part of
+ * the rate and burst, and the reserve that no daemon holds.
  *
- * The bound rests on this: what the ledger says of a holder is never less than
- * what that holder has, a grant that may still arrive included. So all shares
- * together, reserve included, never exceed the workspace's limit. Every level
- * stays within its burst share, therefore all levels together stay within the
- * burst and grow at most at the rate; a window of length t admits at most
- * burst + rate x t.
+ * Invariant: the account never records less for a holder than the holder has,
+ * including a grant that may still arrive. So all shares together, reserve
+ * included, never exceed the workspace's limit. Every level stays within its
+ * burst share, so all levels together stay within the burst and grow at most at
+ * the rate: a window of length t admits at most burst + rate x t.
  */
 import {type ShareGrant} from '../../gen/hickorywalk/v1/limits_pb.js';
 import {emptyLevel, refill, type TokenLevel} from './token-level.js';
 
-/** What the ledger says of one holder; never less than the holder has. */
+/** Entry of one holder in the account; never less than the holder has. */
 export type Holding = {
-	/** Process that holds it. */
+	/** Incarnation of the holding process. */
 	incarnation: bigint;
-	/** Last wish that was taken in. */
+	/** Sequence of the last wish that was processed. */
 	sequence: number;
 	rate: number;
 	burst: number;
-	/** What answered that wish, to be sent again when the wish is. */
+	/** Answer to that wish; sent again if the wish is repeated. */
 	grant?: ShareGrant;
-	/** When the holder was last answered: its lease runs from before that. */
+	/** Time of the last answer to the holder: the holder's lease began before that. */
 	answeredAt: number;
 };
 
-/** Tokens that a holder's requests wait for. */
+/** Tokens that requests at a holder wait for. */
 export type Claim = {
 	tokens: number;
-	/** What the first of the waiting requests needs. */
+	/** Tokens that the first waiting request needs. */
 	first: number;
 	wantedRate: number;
 	wantedTokens: number;
-	/** Whether the wish that made the claim was answered with tokens. */
+	/** Whether the wish behind the claim was answered with a part of the tokens. */
 	answered: boolean;
-	/** When the holder last repeated the claim. */
+	/** Time of the last repeat of the claim. */
 	at: number;
 };
 
-/** The ledger of one workspace. */
+/** The account of one workspace. `limit*` is its limit, `held*` the sum over all holders. */
 export type ShareAccount = {
 	workspace: string;
-	wholeRate: number;
-	wholeBurst: number;
-	rateOut: number;
-	burstOut: number;
-	/** What came back since this issuer began: free also while some holders are unknown. */
+	limitRate: number;
+	limitBurst: number;
+	heldRate: number;
+	heldBurst: number;
+	/** Shares returned since this issuer started: free even while some holders are unknown. */
 	returnedRate: number;
 	returnedBurst: number;
-	/** Tokens that the reserve starts with once all holders are known. */
+	/** Tokens that are added to the reserve once all holders are known. */
 	inherited: number;
 	reserve: TokenLevel;
 	holdings: Map<string, Holding>;
-	/** Claims in the order in which they came. */
+	/** Claims by holder, in order of arrival. */
 	claims: Map<string, Claim>;
 };
 
-/** Creates a ledger without holders. */
+/** Creates an account without holders. */
 export function createShareAccount(workspace: string, inherited: number, now: number): ShareAccount {
 	return {
 		workspace,
-		wholeRate: 0,
-		wholeBurst: 0,
-		rateOut: 0,
-		burstOut: 0,
+		limitRate: 0,
+		limitBurst: 0,
+		heldRate: 0,
+		heldBurst: 0,
 		returnedRate: 0,
 		returnedBurst: 0,
 		inherited,
@@ -74,16 +73,16 @@
 	};
 }
 
-/** Brings the reserve up to date; `complete` when every holder is known. */
+/** Refills the reserve and recomputes its rate and burst; `complete` if every holder is known. */
 export function updateReserve(account: ShareAccount, complete: boolean, now: number): void {
 	const {reserve} = account;
 	refill(reserve, now);
-	const freeRate = Math.max(0, account.wholeRate - account.rateOut);
-	const freeBurst = Math.max(0, account.wholeBurst - account.burstOut);
-	// An unknown holder may have all but what came back.
+	const freeRate = Math.max(0, account.limitRate - account.heldRate);
+	const freeBurst = Math.max(0, account.limitBurst - account.heldBurst);
+	// An unknown holder may have everything except what was returned.
 	reserve.rate = complete ? freeRate : Math.min(freeRate, account.returnedRate);
 	reserve.burst = complete ? freeBurst : Math.min(freeBurst, account.returnedBurst);
-	if (complete && account.wholeBurst > 0) {
+	if (complete && account.limitBurst > 0) {
 		reserve.tokens += account.inherited;
 		account.inherited = 0;
 	}
@@ -91,13 +90,13 @@
 	reserve.tokens = Math.min(reserve.burst, reserve.tokens);
 }
 
-/** Writes down what a holder has now. The caller updates the reserve. */
+/** Records what a holder has now. The caller must update the reserve. */
 export function setHolding(account: ShareAccount, name: string, holding: Holding): void {
 	const before = account.holdings.get(name);
 	const rateChange = holding.rate - (before?.rate ?? 0);
 	const burstChange = holding.burst - (before?.burst ?? 0);
-	account.rateOut += rateChange;
-	account.burstOut += burstChange;
+	account.heldRate += rateChange;
+	account.heldBurst += burstChange;
 	if (before) {
 		account.returnedRate = Math.max(0, account.returnedRate - rateChange);
 		account.returnedBurst = Math.max(0, account.returnedBurst - burstChange);
@@ -106,7 +105,7 @@
 	account.holdings.set(name, holding);
 }
 
-/** Takes a holder that has ended or whose lease is over off the ledger. */
+/** Removes a holder that has ended or whose lease has ended. */
 export function dropHolding(account: ShareAccount, name: string): void {
 	const holding = account.holdings.get(name);
 	if (holding) {
@@ -117,22 +116,22 @@
 	account.claims.delete(name);
 }
 
-/** What a holder is given. */
+/** New rate and burst share of a holder in total, and the tokens added to its level. */
 export type SizedGrant = {
 	rate: number;
 	burst: number;
 	tokens: number;
 };
 
-/** How much goes out ahead of demand. */
+/** Settings that bound how much is prefetched. */
 export type GrantSizing = {
 	prefetchShare: number;
 	scarceShare: number;
 	rateOutShare: number;
 };
 
-/** Sizes a grant and takes it out of the reserve and into the ledger. */
-export function giveShare(account: ShareAccount, name: string, claim: Claim, sizing: GrantSizing): SizedGrant {
+/** Sizes a grant, takes it from the reserve and records it. */
+export function grantShare(account: ShareAccount, name: string, claim: Claim, sizing: GrantSizing): SizedGrant {
 	const holding = account.holdings.get(name);
 	if (!holding) {
 		return {rate: 0, burst: 0, tokens: 0};
@@ -141,10 +140,10 @@
 	const {reserve} = account;
 	const claimed = Math.floor(Math.max(0, Math.min(reserve.tokens, claim.tokens)));
 	const left = reserve.tokens - claimed;
-	const plenty = account.claims.size === 0 && left >= account.wholeBurst * sizing.scarceShare;
-	const ahead = plenty ? Math.floor(Math.min(claim.wantedTokens, left * sizing.prefetchShare)) : 0;
-	const spareRate = Math.min(reserve.rate, (account.wholeRate * sizing.rateOutShare) - account.rateOut) * sizing.prefetchShare;
-	const rateAhead = plenty ? Math.floor(Math.min(claim.wantedRate - holding.rate, spareRate)) : 0;
+	const mayPrefetch = account.claims.size === 0 && left >= account.limitBurst * sizing.scarceShare;
+	const ahead = mayPrefetch ? Math.floor(Math.min(claim.wantedTokens, left * sizing.prefetchShare)) : 0;
+	const spareRate = Math.min(reserve.rate, (account.limitRate * sizing.rateOutShare) - account.heldRate) * sizing.prefetchShare;
+	const rateAhead = mayPrefetch ? Math.floor(Math.min(claim.wantedRate - holding.rate, spareRate)) : 0;
 	const tokens = claimed + ahead;
 	reserve.tokens -= tokens;
 	const given = {
@@ -153,19 +152,19 @@
 		tokens,
 	};
 	setHolding(account, name, {...holding, rate: given.rate, burst: given.burst});
-	return lowered(account, given);
+	return fitToLimit(account, given);
 }
 
 /**
- * After the limit was lowered, the shares may exceed it. The grant then names
- * less than the ledger does; the ledger follows when the holder confirms.
+ * After a limit was lowered, the held shares may exceed it. The grant is then
+ * less than the account records; the account follows once the holder confirms.
  */
-function lowered(account: ShareAccount, given: SizedGrant): SizedGrant {
-	const rateFits = account.rateOut <= account.wholeRate;
-	const burstFits = account.burstOut <= account.wholeBurst;
+function fitToLimit(account: ShareAccount, given: SizedGrant): SizedGrant {
+	const rateFits = account.heldRate <= account.limitRate;
+	const burstFits = account.heldBurst <= account.limitBurst;
 	return {
-		rate: rateFits ? given.rate : Math.floor(given.rate * account.wholeRate / account.rateOut),
-		burst: burstFits ? given.burst : Math.floor(given.burst * account.wholeBurst / account.burstOut),
+		rate: rateFits ? given.rate : Math.floor(given.rate * account.limitRate / account.heldRate),
+		burst: burstFits ? given.burst : Math.floor(given.burst * account.limitBurst / account.heldBurst),
 		tokens: given.tokens,
 	};
 }
--- a/packages/router/src/lib/limits/share-holder.ts
+++ b/packages/router/src/lib/limits/share-holder.ts
@@ -1,9 +1,9 @@
 /**
  * Holds shares of workspaces' limits and admits requests from them.
  *
- * Each workspace has at most one wish under way. A wish says exactly what is
+ * Each workspace has at most one wish in flight. A wish states exactly what is
  * held and gives up every grant to earlier wishes that has not arrived, so a
- * lost, doubled or late message costs at most the tokens it carried.
+ * lost, duplicated or late message costs at most the tokens it carried.
  */
 import {create} from '@bufbuild/protobuf';
 import {type ShareGrant, type ShareNotice, ShardReportSchema} from '../../gen/hickorywalk/v1/limits_pb.js';
@@ -12,39 +12,39 @@
 	countDemand, countSettled, createHeldShare, type HeldShare, holdsAnything, updateShare, waitingTokens,
 } from './held-share.js';
 import {shardOf} from './shard-map.js';
-import {createLineTimers} from './line-timers.js';
-import {isDue, isForgettable} from './wish-schedule.js';
+import {createQueueTimers} from './queue-timers.js';
+import {isDue, isRemovable} from './wish-schedule.js';
 import {createWishSender, type WishSenderOptions} from './wish-sender.js';
 import {
-	expectedWaitMs, expireLine, judgeLine, serveLine,
-} from './waiting-line.js';
+	expectedWaitMs, refuseExpired, reevaluateQueue, grantFromQueue,
+} from './wait-queue.js';
 
-/** What {@link createShareHolder} needs. */
+/** Options of {@link createShareHolder}. */
 export type ShareHolderOptions = WishSenderOptions & {
-	/** Runs what a timer called for. */
+	/** Runs the callback of a timer. */
 	run: (callback: () => void) => void;
 };
 
-/** The holder. */
+/** Holder of the shares of one daemon. */
 export type ShareHolder = {
 	reserve: (workspace: string, tokens: number, longestWaitMs: number) => Promise<ReservationResult>;
 	applyGrant: (grant: ShareGrant) => void;
 	applyNotice: (notice: ShareNotice) => void;
-	/** Lists all that is held of a shard to its issuer. */
+	/** Reports everything held of a shard to its issuer. */
 	report: (shard: number) => void;
 	/** Sends the wishes that are due. */
 	tick: () => void;
-	/** Gives everything back; nothing is admitted from then on. */
-	giveBack: () => void;
-	/** Whether nothing is held, and the issuers know it. */
+	/** Returns all shares to their issuers; nothing is admitted from then on. */
+	returnAll: () => void;
+	/** Whether nothing is held and the issuers have confirmed it. */
 	isEmpty: () => boolean;
-	/** Refuses all that wait. */
+	/** Refuses all waiting requests. */
 	close: () => void;
 };
 
 const msPerSecond = 1000;
 const unknownRetryMs = 1000;
-/** Milliseconds between two looks at shares that nobody waits for. */
+/** Milliseconds between two checks of shares without waiting requests. */
 const scanMs = 500;
 
 /** Creates a holder without shares. */
@@ -53,7 +53,7 @@
 	const shares = new Map<string, HeldShare>();
 	const reportedAt = new Map<number, {generation: number; at: number}>();
 	const wishes = createWishSender(options);
-	const timers = createLineTimers({run: options.run, onDue: lookAt});
+	const timers = createQueueTimers({run: options.run, onDue: processQueue});
 	let scannedAt = Number.NEGATIVE_INFINITY;
 	let closed = false;
 
@@ -61,21 +61,21 @@
 		let share = shares.get(workspace);
 		if (!share) {
 			share = createHeldShare(workspace, shardOf(workspace, settings.shards), performance.now());
-			// A share of that name may have been forgotten: none of its grants is still to come, and
-			// what they carried may be spent, so the issuer must not take it for unapplied.
-			share.applied = wishes.lastNumber();
+			// An earlier share of this workspace may have been deleted. All its grants have been handled
+			// and their tokens may be spent, so the issuer must not credit them as unapplied.
+			share.applied = wishes.lastSequence();
 			shares.set(workspace, share);
 		}
 
 		return share;
 	}
 
-	function lookAt(share: HeldShare): void {
+	function processQueue(share: HeldShare): void {
 		const now = performance.now();
-		serveLine(share, now);
+		grantFromQueue(share, now);
 		const before = share.waiters.length;
-		expireLine(share, now);
-		share.confirm ||= share.waiters.length < before;
+		refuseExpired(share, now);
+		share.needsWish ||= share.waiters.length < before;
 		timers.arm(share, now);
 	}
 
@@ -95,7 +95,7 @@
 		};
 	}
 
-	/** Unused tokens come back as far as the burst share goes; overuse is paid back by the share's growth. */
+	/** Credits unused tokens up to the burst share; overuse is paid back by the share's growth. */
 	function takeBack(share: HeldShare, unused: number): void {
 		const now = performance.now();
 		updateShare(share, now);
@@ -104,16 +104,16 @@
 		}
 
 		share.level.tokens = Math.min(share.level.burst, share.level.tokens + unused);
-		lookAt(share);
+		processQueue(share);
 	}
 
-	function judge(share: HeldShare, now: number): void {
+	function refuseUnmeetable(share: HeldShare, now: number): void {
 		const before = share.waiters.length;
-		judgeLine(share, settings, now);
-		share.confirm ||= share.waiters.length < before;
+		reevaluateQueue(share, settings, now);
+		share.needsWish ||= share.waiters.length < before;
 	}
 
-	async function waitInLine(share: HeldShare, tokens: number, longestWaitMs: number, now: number): Promise<ReservationResult> {
+	async function enqueue(share: HeldShare, tokens: number, longestWaitMs: number, now: number): Promise<ReservationResult> {
 		return new Promise(resolve => {
 			const deadline = now + longestWaitMs;
 			share.waiters.push({
@@ -131,7 +131,7 @@
 				share.notice = undefined;
 			}
 
-			judge(share, now);
+			refuseUnmeetable(share, now);
 			if (!share.outstanding && isDue(share, settings, now)) {
 				wishes.send(share, now);
 			}
@@ -164,7 +164,7 @@
 			}
 
 			if (tokens > limit.burstTokens) {
-				// It would never pass, however long the caller waits.
+				// It can never be granted, however long the caller waits.
 				return {granted: false, retryAfterMs: Number.POSITIVE_INFINITY};
 			}
 
@@ -183,7 +183,7 @@
 				return {granted: false, retryAfterMs: finiteRetry(share, tokens, wait)};
 			}
 
-			return waitInLine(share, tokens, longestWaitMs, now);
+			return enqueue(share, tokens, longestWaitMs, now);
 		},
 		applyGrant(grant) {
 			const share = shares.get(grant.workspace);
@@ -196,15 +196,15 @@
 			share.outstanding = false;
 			share.applied = grant.sequence;
 			share.notice = undefined;
-			// The issuer's lease on this share runs from after the wish was sent.
+			// The issuer counts the lease of this share from after the wish was sent.
 			share.leaseEnd = share.wishedAt + settings.leaseMs - settings.marginMs;
 			const {level} = share;
-			share.confirm ||= grant.rate < level.rate || grant.burst < level.burst;
+			share.needsWish ||= grant.rate < level.rate || grant.burst < level.burst;
 			level.rate = grant.rate;
 			level.burst = grant.burst;
 			level.tokens = Math.min(level.burst, level.tokens + grant.tokens);
 			level.at = now;
-			lookAt(share);
+			processQueue(share);
 			if (isDue(share, settings, now) && share.waiters.length > 0) {
 				wishes.send(share, now);
 			}
@@ -220,7 +220,7 @@
 			const now = performance.now();
 			updateShare(share, now);
 			share.notice = {ahead: notice.ahead, rate: notice.rate, at: now};
-			judge(share, now);
+			refuseUnmeetable(share, now);
 			timers.arm(share, now);
 		},
 		report(shard) {
@@ -249,8 +249,8 @@
 			const isScan = now >= scannedAt + scanMs;
 			scannedAt = isScan ? now : scannedAt;
 			for (const share of shares.values()) {
-				// Most of a thousand shares rest; those that wait are looked at each time.
-				if (!isScan && share.waiters.length === 0 && !share.confirm) {
+				// There may be a thousand shares, most of them idle: only those with work are checked at every tick.
+				if (!isScan && share.waiters.length === 0 && !share.needsWish) {
 					continue;
 				}
 
@@ -260,12 +260,12 @@
 				}
 
 				wishes.trim(share, now);
-				if (isForgettable(share, settings, now)) {
+				if (isRemovable(share, settings, now)) {
 					shares.delete(share.workspace);
 				}
 			}
 		},
-		giveBack() {
+		returnAll() {
 			closed = true;
 			const now = performance.now();
 			for (const share of shares.values()) {
--- a/packages/router/src/lib/limits/token-level.ts
+++ b/packages/router/src/lib/limits/token-level.ts
@@ -1,27 +1,27 @@
-/** A token bucket's arithmetic: a level that grows at a rate up to a burst. */
+/** Arithmetic of a token bucket: a level that grows at a rate up to a burst. */
 
-/** Times are milliseconds of `performance.now()`. */
+/** State of a token bucket. Times are milliseconds of `performance.now()`. */
 export type TokenLevel = {
-	/** Tokens a second. */
+	/** Tokens per second. */
 	rate: number;
-	/** Most tokens that the level may reach. */
+	/** Maximum of `tokens`. */
 	burst: number;
-	/** Tokens that may be spent now; below zero while overuse is paid back. */
+	/** Tokens that may be spent now; negative while overuse is paid back. */
 	tokens: number;
-	/** When `tokens` was last worked out. */
+	/** Time at which `tokens` was last updated. */
 	at: number;
 };
 
 const msPerSecond = 1000;
 
-/** An empty level. */
+/** Creates a level without rate, burst or tokens. */
 export function emptyLevel(now: number): TokenLevel {
 	return {
 		rate: 0, burst: 0, tokens: 0, at: now,
 	};
 }
 
-/** Adds what has come in since the last call. Call it before any field changes. */
+/** Adds the tokens that accrued since the last call. Must be called before any field is changed. */
 export function refill(level: TokenLevel, now: number): void {
 	if (now > level.at) {
 		level.tokens += level.rate * (now - level.at) / msPerSecond;
@@ -31,7 +31,7 @@
 	level.tokens = Math.min(level.burst, level.tokens);
 }
 
-/** Milliseconds until the level reaches `tokens`; infinite when it never does. */
+/** Milliseconds until the level reaches `tokens`; infinite if it never does. */
 export function msUntil(level: TokenLevel, tokens: number): number {
 	if (level.tokens >= tokens) {
 		return 0;
--- a/packages/router/src/lib/limits/token-limiter.ts
+++ b/packages/router/src/lib/limits/token-limiter.ts
@@ -1,11 +1,11 @@
 /**
- * Keeps each workspace inside its rate and burst over all VMs together.
+ * Enforces each workspace's rate and burst over all VMs together.
  *
- * Every daemon holds shares of rate and burst and admits from them without
- * asking anyone. A shard's issuer keeps the ledger of its workspaces' shares;
- * the table only says which daemon issues which shard, so it sees no write per
- * request, workspace or daemon. docs/design/limits.md has the argument why no
- * window of any length t admits more than burst + rate x t.
+ * Every daemon holds shares of the rate and burst and admits requests from them
+ * locally. The issuer of a shard keeps the accounts of its workspaces' shares.
+ * The table only stores which daemon issues which shard, so there is no write
+ * per request, workspace or daemon. docs/design/limits.md shows why no window of
+ * length t admits more than burst + rate x t.
  */
 import {create} from '@bufbuild/protobuf';
 import {ShardCallSchema, ShardReportSchema, type ShareTransfer} from '../../gen/hickorywalk/v1/limits_pb.js';
@@ -21,7 +21,7 @@
 } from './limiter-settings.js';
 import {createLivenessEvidence} from './liveness-evidence.js';
 import {createOutbox} from './outbox.js';
-import {createShardKeeper} from './shard-keeper.js';
+import {createShardLeases} from './shard-leases.js';
 import {
 	hashNames, type HashedName, rankDaemons, shardOf,
 } from './shard-map.js';
@@ -29,49 +29,49 @@
 
 /** Options of {@link createTokenLimiter}. */
 export type TokenLimiterOptions = {
-	/** Name of this daemon; it must be the name of its VM in the platform's list. */
+	/** Name of this daemon; must be the name of its VM in the platform's list. */
 	name: string;
-	/** Process of this daemon; grows with each start, as peers see it. */
+	/** Incarnation of this process as peers see it; grows with each start. */
 	incarnation: bigint;
-	/** Sends to other daemons. */
+	/** Sends messages to other daemons. */
 	send: SendToPeer;
-	/** Where the shards' rows are kept. */
+	/** Table that stores the rows of shards and holders. */
 	table: TableClient;
-	/** Told of table faults; the work is tried again by itself. */
+	/** Called with errors of the table; the work is retried without further action. */
 	onError?: (error: unknown) => void;
-	/** Runs what a timer called for; tests hold it back while a daemon is paused. */
+	/** Runs the callback of a timer; tests defer it while a daemon is paused. */
 	run?: (callback: () => void) => void;
-	/** Changes to {@link defaultLimiterSettings}; the same on every daemon. */
+	/** Overrides of {@link defaultLimiterSettings}; must be the same on every daemon. */
 	settings?: Partial<LimiterSettings>;
 };
 
-/** A limiter with what the daemon connects to it. */
+/** A limiter with the hooks that the daemon connects to it. */
 export type FleetTokenLimiter = TokenLimiter & {
-	/** Handlers of `shareRequest` and `shareTransfer`. */
+	/** Handlers of the peer messages `shareRequest` and `shareTransfer`. */
 	handlers: PeerHandlers;
-	/** Takes over the limits of the document in force. */
+	/** Replaces the limits by those of the current document. */
 	setWorkspaces: (workspaces: Iterable<WorkspaceLimit>) => void;
-	/** Names the other daemons that are thought to run. */
+	/** Replaces the list of other daemons that are believed to be running. */
 	setPeers: (peers: Iterable<LimiterPeer>) => void;
-	/** News from the platform's VM list. */
+	/** Passes in a version of the platform's VM list. */
 	observeVmList: (list: VmList) => void;
-	/** Starts the timers; resolves when the first exchange with the table ended, either way. */
+	/** Starts the timers; resolves once the first exchange with the table has succeeded or failed. */
 	start: () => Promise<void>;
-	/** Whether this daemon is registered and knows who issues every workspace's shares. */
+	/** Whether this daemon is registered and knows the issuer of every configured workspace. */
 	isReady: () => boolean;
-	/** Names of the daemons that issue the shares of the workspaces that are set. */
+	/** Names of the known issuers of the configured workspaces. */
 	issuers: () => Set<string>;
-	/** One round of work; `start` calls it each `tickMs`. */
+	/** Does the periodic work; called every `tickMs` after `start`. */
 	tick: () => void;
-	/** For a graceful stop, after the last request ended: returns shares and issued shards. */
+	/** Returns all shares and releases the issued shards, for a graceful stop after the last request has ended. */
 	returnShares: () => Promise<void>;
-	/** Stops timers and refuses all that wait. */
+	/** Stops the timers and refuses all waiting requests. */
 	close: () => void;
 };
 
-const maintainMs = 1000;
-const returnMs = 2000;
-const mostRetryMs = 5000;
+const maintainIntervalMs = 1000;
+const returnTimeoutMs = 2000;
+const maxRetryMs = 5000;
 const successorsTold = 2;
 
 /**
@@ -97,7 +97,7 @@
 	let workspacesByShard = new Map<number, string[]>();
 	let peers: LimiterPeer[] = [];
 	let hashedNames = hashNames([name]);
-	/** Processes that gave their shards up and must not get new ones. */
+	/** Incarnations of daemons that released their shards and must not take new ones, by name. */
 	const leaving = new Map<string, bigint>();
 	let registered = false;
 	let writtenListing: number | undefined;
@@ -115,7 +115,7 @@
 	const issued = createIssuedShards({
 		name, settings, evidence, outbox, rows, run, limits: () => limits,
 	});
-	const keeper = createShardKeeper({
+	const shardLeases = createShardLeases({
 		name,
 		incarnation,
 		settings,
@@ -131,7 +131,7 @@
 		outbox,
 		run,
 		limitOf: workspace => limits.get(workspace),
-		// Whoever holds shares must stand in the table: a new issuer asks those only.
+		// A daemon must be registered before it holds shares: a new issuer asks only registered daemons.
 		issuerOf: shard => registered ? known.of(shard) : undefined,
 	});
 
@@ -159,8 +159,8 @@
 		}
 	}
 
-	/** A peer gave a shard up: the table says so, and one of us should take it. */
-	function noteLeaving(origin: PeerOrigin): void {
+	/** A peer released a shard. The table is read again at once, so that another daemon takes it over. */
+	function handleLeaving(origin: PeerOrigin): void {
 		leaving.set(origin.name, origin.incarnation);
 		nextRefresh = Number.NEGATIVE_INFINITY;
 		void maintain();
@@ -176,11 +176,11 @@
 	function takeTransfer(origin: PeerOrigin, transfer: ShareTransfer): void {
 		for (const call of transfer.calls) {
 			if (call.issuer === '') {
-				noteLeaving(origin);
+				handleLeaving(origin);
 				continue;
 			}
 
-			// Only daemons that stand in the table are called.
+			// Issuers call only registered daemons.
 			registered = true;
 			const isNew = known.adopt(call.shard, call);
 			const current = known.of(call.shard);
@@ -204,7 +204,7 @@
 
 	async function register(): Promise<void> {
 		const listedIn = evidence.listedIn(name);
-		// That this VM was listed is written down once: after that, its absence proves its end to all.
+		// The row records once that this VM was listed: from then on, its absence from the list tells every daemon that it has ended.
 		const isListingNew = writtenListing === 0 && listedIn > 0;
 		if (writtenListing === undefined || isListingNew) {
 			await rows.writeHolder(name, {incarnation: String(incarnation), listedIn});
@@ -219,20 +219,20 @@
 			return;
 		}
 
-		await keeper.refresh();
+		await shardLeases.refresh();
 		nextRefresh = now + settings.refreshMs;
 	}
 
 	function adoptWatched(): void {
 		for (const shard of workspacesByShard.keys()) {
-			const watched = keeper.watched(shard);
+			const watched = shardLeases.watched(shard);
 			if (watched && known.adopt(shard, watched.row)) {
 				holder.report(shard);
 			}
 		}
 	}
 
-	/** Tells peers that no issuer is known here while the table gives no answer. */
+	/** Reports to all peers with generation 0, so that the issuers among them name themselves while the table is unavailable. */
 	function askPeers(): void {
 		for (const peer of peers) {
 			outbox.report(peer.name, create(ShardReportSchema, {shard: 0, generation: 0}));
@@ -245,15 +245,15 @@
 		}
 
 		busy = true;
-		nextMaintain = performance.now() + maintainMs;
+		nextMaintain = performance.now() + maintainIntervalMs;
 		try {
 			await register();
 			await refresh();
 			adoptWatched();
-			await issued.maintain(keeper);
+			await issued.maintain(shardLeases);
 			adoptWatched();
 		} catch (error) {
-			nextMaintain = performance.now() + Math.min(mostRetryMs, maintainMs * 2);
+			nextMaintain = performance.now() + Math.min(maxRetryMs, maintainIntervalMs * 2);
 			if (!registered || !known.hasAll(workspacesByShard.keys())) {
 				askPeers();
 			}
@@ -330,14 +330,14 @@
 		tick,
 		async returnShares() {
 			stopping = true;
-			holder.giveBack();
-			const deadline = performance.now() + returnMs;
+			holder.returnAll();
+			const deadline = performance.now() + returnTimeoutMs;
 			while (!holder.isEmpty() && performance.now() < deadline) {
 				await pause(settings.tickMs);
 			}
 
 			try {
-				tellSuccessors(await issued.release(keeper));
+				tellSuccessors(await issued.release(shardLeases));
 			} catch (error) {
 				options.onError?.(error);
 			}
--- a/packages/router/src/lib/limits/wish-schedule.ts
+++ b/packages/router/src/lib/limits/wish-schedule.ts
@@ -1,33 +1,33 @@
-/** When a holder speaks to its issuer. All functions are pure. Times are `performance.now()`. */
+/** When a holder sends wishes to its issuer. Times are milliseconds of `performance.now()`. */
 import {
 	type HeldShare, holdsAnything, targetTokens, waitingTokens,
 } from './held-share.js';
 import {type LimiterSettings} from './limiter-settings.js';
 
-/** Milliseconds between two wishes that only gather tokens ahead of demand. */
+/** Minimum milliseconds between two wishes that only prefetch tokens. */
 const prefetchMs = 500;
-const mostResendMs = 5000;
-/** A claim is repeated at least this often, in `resendMs`: an issuer drops one that is not. */
+const maxResendMs = 5000;
+/** Longest interval between repeats of a claim, in multiples of `resendMs`: the issuer drops a claim that is not repeated. */
 const claimResends = 2;
 const renewalsPerLease = 4;
 
-/** Whether the last wish no longer says what matters: then a new one gives it up. */
+/** Whether the last wish is out of date and must be replaced by a new one instead of repeated. */
 export function isStale(share: HeldShare, settings: LimiterSettings, now: number): boolean {
 	const isUnwanted = (share.lastWish?.claim ?? 0) > 0 && share.waiters.length === 0;
 	const isOld = now >= share.wishedAt + (settings.leaseMs / renewalsPerLease);
-	return share.confirm || isUnwanted || isOld;
+	return share.needsWish || isUnwanted || isOld;
 }
 
-/** Whether the issuer should hear of this share now. */
+/** Whether a wish for this share should be sent now. */
 export function isDue(share: HeldShare, settings: LimiterSettings, now: number): boolean {
 	const since = now - share.sentAt;
 	const waiting = share.waiters.length > 0;
 	if (share.outstanding) {
-		const longest = waiting ? settings.resendMs * claimResends : mostResendMs;
+		const longest = waiting ? settings.resendMs * claimResends : maxResendMs;
 		return since >= Math.min(settings.resendMs * (2 ** (share.sends - 1)), longest);
 	}
 
-	if (share.confirm) {
+	if (share.needsWish) {
 		return true;
 	}
 
@@ -49,8 +49,8 @@
 	return idle || (held && now >= share.leaseEnd - (settings.leaseMs * (renewalsPerLease - 1) / renewalsPerLease));
 }
 
-/** Whether nothing is left to remember of the share. */
-export function isForgettable(share: HeldShare, settings: LimiterSettings, now: number): boolean {
-	const isQuiet = !share.outstanding && !share.confirm && share.waiters.length === 0 && share.reserved === 0;
+/** Whether the share has no state left and can be deleted. */
+export function isRemovable(share: HeldShare, settings: LimiterSettings, now: number): boolean {
+	const isQuiet = !share.outstanding && !share.needsWish && share.waiters.length === 0 && share.reserved === 0;
 	return isQuiet && !holdsAnything(share) && share.level.tokens >= 0 && now >= share.lastAskedAt + settings.idleMs;
 }
--- a/packages/router/src/lib/limits/wish-sender.ts
+++ b/packages/router/src/lib/limits/wish-sender.ts
@@ -1,12 +1,12 @@
-/** Sends wishes for shares to the daemons that issue them. */
+/** Sends wishes (`ShareWish`: what a holder has, returns and wants of one workspace) to the issuers. */
 import {create} from '@bufbuild/protobuf';
 import {ShareWishSchema} from '../../gen/hickorywalk/v1/limits_pb.js';
-import {emptyCapacity, type HeldShare, lowerAndWish} from './held-share.js';
+import {emptyCapacity, type HeldShare, prepareWish} from './held-share.js';
 import {type LimiterSettings, type WorkspaceLimit} from './limiter-settings.js';
 import {type Outbox} from './outbox.js';
 import {isStale} from './wish-schedule.js';
 
-/** Who issues a shard's shares, as far as this daemon knows. */
+/** The issuer of a shard as far as this daemon knows. */
 export type KnownIssuer = {generation: number; issuer: string};
 
 /** Options of {@link createWishSender}. */
@@ -14,29 +14,29 @@
 	settings: LimiterSettings;
 	outbox: Outbox;
 	limitOf: (workspace: string) => WorkspaceLimit | undefined;
-	/** Daemon to send wishes for a shard to, with the generation to name. */
+	/** Issuer of a shard, and the generation that wishes to it must carry. */
 	issuerOf: (shard: number) => KnownIssuer | undefined;
 };
 
 /**
- * - `wish`: an answer is wanted.
- * - `quiet`: the issuer only takes note of what goes back.
- * - `report`: says what is held, for an issuer that has just begun.
+ * - `wish`: requires an answer.
+ * - `quiet`: only returns a part of the share; requires no answer.
+ * - `report`: tells a new issuer what is held; requires an answer.
  */
 export type WishKind = 'wish' | 'quiet' | 'report';
 
 /** The sender. */
 export type WishSender = {
 	send: (share: HeldShare, now: number, kind?: WishKind) => void;
-	/** Gives back capacity that stands empty. */
+	/** Returns empty capacity to the issuer. */
 	trim: (share: HeldShare, now: number) => void;
-	/** Number of the last wish, over all workspaces. */
-	lastNumber: () => number;
+	/** Sequence number of the last wish, over all workspaces. */
+	lastSequence: () => number;
 };
 
 /** Creates a sender. */
 export function createWishSender({settings, outbox, limitOf, issuerOf}: WishSenderOptions): WishSender {
-	// Counted over all workspaces: a forgotten share must not start again below its last number.
+	// Counted over all workspaces: a share that was deleted must not start again below its last sequence number.
 	let sequence = 0;
 
 	const send = (share: HeldShare, now: number, kind: WishKind = 'wish'): void => {
@@ -49,18 +49,18 @@
 		share.sends += 1;
 		const {lastWish} = share;
 		if (share.outstanding && !isStale(share, settings, now) && lastWish?.generation === issuer.generation) {
-			// Said again as it was: an answer under way stays good, and a lost one is repeated.
+			// Repeated unchanged: an answer in flight stays valid, and a lost one is sent again.
 			outbox.wish(issuer.issuer, lastWish);
 			return;
 		}
 
-		const figures = lowerAndWish(share, settings, now, kind === 'report');
+		const figures = prepareWish(share, settings, now, kind === 'report');
 		sequence += 1;
 		share.sequence = sequence;
 		share.sends = 1;
 		share.wishedAt = now;
 		share.outstanding = kind !== 'quiet';
-		share.confirm = false;
+		share.needsWish = false;
 		share.lastWish = create(ShareWishSchema, {
 			workspace: share.workspace, generation: issuer.generation, sequence: share.sequence, applied: share.applied, ...figures, quiet: kind === 'quiet',
 		});
@@ -70,8 +70,8 @@
 	return {
 		send,
 		/**
-		 * Empty capacity here keeps the issuer's reserve from growing, so it goes
-		 * back soon. Should the message be lost, the next wish says the same.
+		 * Empty capacity held here keeps the issuer's reserve from growing, so it is
+		 * returned soon. If the message is lost, the next wish carries the same state.
 		 */
 		trim(share, now) {
 			const whole = limitOf(share.workspace)?.burstTokens ?? 0;
@@ -79,6 +79,6 @@
 				send(share, now, 'quiet');
 			}
 		},
-		lastNumber: () => sequence,
+		lastSequence: () => sequence,
 	};
 }
--- a/packages/router/src/limits.ts
+++ b/packages/router/src/limits.ts
@@ -1,4 +1,4 @@
-/** Rates and bursts in tokens over all VMs together. */
+/** Token rate limits of workspaces, enforced over all VMs together. */
 export * from './lib/limits/limiter-settings.js';
 export * from './lib/limits/limits-errors.js';
 export * from './lib/limits/liveness-evidence.js';
--- a/packages/router/src/test/limits/failed-histories.ts
+++ b/packages/router/src/test/limits/failed-histories.ts
@@ -1,8 +1,8 @@
 /**
- * Histories that once failed, unchanged. The first spent 1,084 tokens too many:
- * tokens that came back after their holder's lease were issued twice. In the
- * second the burst never came back: a claim that nobody waited for any more
- * was repeated for ever.
+ * Generated histories that failed before, unchanged. The first spent 1,084 tokens
+ * too many: tokens returned after the end of their holder's lease were issued
+ * twice. In the second the full burst never became available again: a claim
+ * without a waiting request was repeated forever.
  */
 export const failedHistories = [
 	{
--- a/packages/router/src/test/limits/fleet.ts
+++ b/packages/router/src/test/limits/fleet.ts
@@ -1,4 +1,4 @@
-/** Daemons' limiters over fake links and a fake table, for the tests of limits. */
+/** Test fixture: limiters of several daemons over fake links and a fake table. */
 import {
 	createTokenLimiter, type FleetTokenLimiter, type LimiterSettings, type WorkspaceLimit,
 } from '../../limits.js';
@@ -7,10 +7,10 @@
 	PlatformUnavailableError, type TableClient, type TableRow, type VmList,
 } from '../../platform.js';
 
-/** What the table does with a call. */
+/** Fault of the table during a call. */
 export type TableFault = 'none' | 'down' | 'answer-lost';
 
-/** A table in memory; `fault` decides what each call meets. */
+/** Creates a table in memory; `fault` is asked for the fault of each call. */
 export function createFakeTable(fault: () => TableFault) {
 	const rows = new Map<string, TableRow>();
 	async function call<Result>(writes: boolean, run: () => Result): Promise<Result> {
@@ -72,11 +72,11 @@
 	limiter: FleetTokenLimiter;
 	alive: boolean;
 	paused: boolean;
-	/** What came in while the daemon was paused. */
-	held: Array<() => void>;
+	/** Callbacks and messages that arrived while the daemon was paused. */
+	deferred: Array<() => void>;
 };
 
-/** A charge of tokens at a time; negative when unused tokens came back. */
+/** Tokens charged at a time; negative if unused tokens were returned. */
 export type Charge = {at: number; tokens: number};
 
 /** One request for tokens. */
@@ -84,7 +84,7 @@
 	workspace: string;
 	tokens: number;
 	longestWaitMs: number;
-	/** Part of the tokens that is used; the rest comes back after `settleAfterMs`. */
+	/** Fraction of the tokens that is used; the rest is returned after `settleAfterMs`. */
 	usedShare?: number;
 	settleAfterMs?: number;
 };
@@ -93,12 +93,12 @@
 export type FleetOptions = {
 	limits: WorkspaceLimit[];
 	settings?: Partial<LimiterSettings>;
-	/** Milliseconds after which each copy of a message arrives; none when it is lost. */
+	/** Delay in milliseconds of each copy of a message; empty if it is lost. */
 	delays?: (from: string, to: string) => number[];
 	tableFault?: (name: string) => TableFault;
 };
 
-/** Creates a fleet without daemons; timers are those of the paused clock. */
+/** Creates a fleet without daemons. The caller must install fake timers. */
 export function createFleet(options: FleetOptions) {
 	const daemons = new Map<string, FleetDaemon>();
 	let caller = '';
@@ -107,14 +107,14 @@
 	let listVersion = 0;
 	let limits = [...options.limits];
 
-	/** Runs now, or when the daemon wakes up; never after it crashed. */
+	/** Runs now, or once the daemon resumes; never after it crashed. */
 	function runOn(daemon: FleetDaemon, run: () => void): void {
 		if (!daemon.alive) {
 			return;
 		}
 
 		if (daemon.paused) {
-			daemon.held.push(run);
+			daemon.deferred.push(run);
 		} else {
 			run();
 		}
@@ -140,7 +140,7 @@
 		}
 	}
 
-	/** Holds the table's answers back while the daemon is paused, for ever once it crashed. */
+	/** The table as a daemon sees it: answers are deferred while the daemon is paused and dropped once it crashed. */
 	function tableOf(daemon: () => FleetDaemon): TableClient {
 		async function gate<Result>(result: Promise<Result>): Promise<Result> {
 			const [settled] = await Promise.allSettled([result]);
@@ -181,13 +181,13 @@
 		daemons,
 		table,
 		charges,
-		/** Starts a daemon, or a new process of it: the old one ends first. */
+		/** Starts a daemon, or a new process of it after ending the old one. */
 		start(name: string): FleetDaemon {
 			const before = daemons.get(name);
 			fleet.crash(name);
 			const incarnation = (before?.incarnation ?? 0n) + 1n;
 			const daemon: FleetDaemon = {
-				name, incarnation, alive: true, paused: false, held: [],
+				name, incarnation, alive: true, paused: false, deferred: [],
 				limiter: createTokenLimiter({
 					name,
 					incarnation,
@@ -207,7 +207,7 @@
 			void daemon.limiter.start();
 			return daemon;
 		},
-		/** The process ends between two steps. */
+		/** Ends the process between two steps. */
 		crash(name: string): void {
 			const daemon = daemons.get(name);
 			if (daemon) {
@@ -216,13 +216,13 @@
 				daemon.limiter.close();
 			}
 		},
-		/** The VM goes too: the next list lacks it. */
+		/** Ends the process and its VM, which is missing from the next VM list. */
 		remove(name: string): void {
 			fleet.crash(name);
 			daemons.delete(name);
 			fleet.announce();
 		},
-		/** Nothing of the daemon runs until it resumes; what happens meanwhile reaches it then. */
+		/** Suspends the daemon: callbacks and messages are deferred until it resumes. */
 		pause(name: string): void {
 			const daemon = daemons.get(name);
 			if (daemon?.alive) {
@@ -233,7 +233,7 @@
 			const daemon = daemons.get(name);
 			if (daemon?.paused) {
 				daemon.paused = false;
-				for (const run of daemon.held.splice(0)) {
+				for (const run of daemon.deferred.splice(0)) {
 					runOn(daemon, run);
 				}
 			}
@@ -257,7 +257,7 @@
 				});
 			}
 		},
-		/** Asks for tokens and writes the charge down when it is granted. */
+		/** Requests tokens and records the charge if granted. */
 		async ask(name: string, {workspace, tokens, longestWaitMs, usedShare = 1, settleAfterMs = 0}: Ask) {
 			const daemon = daemons.get(name);
 			if (!daemon?.alive || daemon.paused) {
@@ -272,7 +272,7 @@
 				setTimeout(() => {
 					const used = Math.floor(tokens * usedShare);
 					runOn(daemon, () => {
-						// Overuse is a debt for later, not a grant.
+						// Overuse is a debt for later and not charged here.
 						charges.push({at: performance.now(), tokens: Math.min(0, used - tokens)});
 						result.reservation.settle(used);
 					});
@@ -292,7 +292,7 @@
 
 /** Largest amount by which the charges of any window exceed burst + rate x length. */
 export function largestExcess(charges: readonly Charge[], limit: WorkspaceLimit): number {
-	// The fullest a single bucket could be, had it just those charges: its debt is the excess.
+	// The charges are replayed on a single token bucket: its debt is the excess.
 	let level = limit.burstTokens;
 	let at = 0;
 	let excess = 0;
@@ -306,10 +306,10 @@
 	return excess;
 }
 
-/** Excess below this is rounding of floating-point sums. */
+/** Tokens of excess below which it is a rounding error of floating-point sums. */
 export const roundingTokens = 1e-6;
 
-/** Sum of one figure over a list. */
+/** Sum of a value over all items. */
 export function sumBy<Item>(items: Iterable<Item>, figure: (item: Item) => number): number {
 	let sum = 0;
 	for (const item of items) {
--- a/packages/router/src/test/limits/limit-faults.test.ts
+++ b/packages/router/src/test/limits/limit-faults.test.ts
@@ -32,7 +32,7 @@
 		await clock.tickAsync(5000);
 	}
 
-	/** Asks in small pieces for more than there is, on all daemons that run. */
+	/** Requests more tokens than are available, in small amounts on the named daemons; returns the tokens charged. */
 	async function spendAll(fleet: Fleet, names: string[], tokens = 500): Promise<number> {
 		const before = sumBy(fleet.charges, charge => charge.tokens);
 		for (let round = 0; round < 40; round += 1) {
@@ -60,7 +60,7 @@
 		assert.isBelow(largestExcess(fleet.charges, limit), roundingTokens);
 	}
 
-	/** Leaves the daemon with tokens in its hands, and the reserve to grow again. */
+	/** Lets the daemon hold 6000 returned tokens, so that the reserve must refill. */
 	async function holdTokens(fleet: Fleet, name: string): Promise<void> {
 		void fleet.ask(name, {
 			workspace, tokens: 6000, longestWaitMs: 5000, usedShare: 0, settleAfterMs: 50,
@@ -68,10 +68,10 @@
 		await clock.tickAsync(100);
 	}
 
-	it('go on through an outage of the table shorter than the lease, and fail closed after it', async () => {
-		// The table is down for long. Callers notice nothing while leases last.
-		// After that nobody can tell who took over, so requests are refused
-		// rather than spent twice, and all is well once the table is back.
+	it('still admit requests during a table outage shorter than the lease, and refuse them after it', async () => {
+		// Callers notice no outage of the table while the leases last. After that no
+		// daemon knows which one took over, so requests are refused rather than
+		// tokens spent twice. Service resumes once the table is back.
 		let fault: TableFault = 'none';
 		const fleet = createFleet({limits: [limit], settings: {...settings, leaseMs: 90 * minute}, tableFault: () => fault});
 		await startAll(fleet);
@@ -87,9 +87,9 @@
 		fleet.close();
 	});
 
-	it('do not let a holder spend what lapsed while it was paused', async () => {
-		// A daemon with tokens sleeps over its lease; they are issued anew and
-		// spent by others. When it wakes, a request is there before any message.
+	it('do not let a holder spend tokens whose lease ended while it was paused', async () => {
+		// A daemon with tokens is paused beyond its lease; they are issued again and
+		// spent by others. When it resumes, a request arrives before any message.
 		const fleet = createFleet({limits: [limit], settings});
 		await startAll(fleet);
 		const holder = 'b';
@@ -97,7 +97,7 @@
 		fleet.pause(holder);
 		await clock.tickAsync(leaseMs * 2.5);
 		await spendAll(fleet, ['a', 'c']);
-		fleet.daemons.get(holder)?.held.unshift(() => {
+		fleet.daemons.get(holder)?.deferred.unshift(() => {
 			void fleet.ask(holder, {workspace, tokens: 5000, longestWaitMs: 0});
 		});
 		fleet.resume(holder);
@@ -106,9 +106,9 @@
 		fleet.close();
 	});
 
-	it('make a new issuer wait for a holder that it cannot ask', async () => {
-		// The issuer is replaced while a holder of tokens is paused. The new one
-		// must not issue these tokens again before it hears from the holder.
+	it('make a new issuer wait for a holder that does not report', async () => {
+		// The issuer is replaced while a holder of tokens is paused. The new issuer
+		// must not issue these tokens again before the holder has reported.
 		const fleet = createFleet({limits: [limit], settings});
 		await startAll(fleet);
 		const issuer = issuerOf(fleet);
@@ -124,10 +124,10 @@
 		fleet.close();
 	});
 
-	it('void a grant to an earlier process of the daemon', async () => {
+	it('ignore a grant to an earlier process of the daemon', async () => {
 		// The answer to the old process's first wish reaches the new process,
-		// whose first wish has the same number and is still unanswered. Meanwhile
-		// the old process's tokens were issued anew.
+		// whose first wish has the same sequence number and is still unanswered.
+		// Meanwhile the old process's tokens were issued again.
 		const delays = new Map<string, number>();
 		const fleet = createFleet({limits: [limit], settings, delays: from => [delays.get(from) ?? 1]});
 		await startAll(fleet);
@@ -144,7 +144,7 @@
 
 		await clock.tickAsync(12_000);
 		void fleet.ask(holder, {workspace, tokens: 2000, longestWaitMs: 0});
-		// The old grant is just there; the daemon's next tick has not come.
+		// The old grant has just arrived; the daemon's next tick has not run yet.
 		await clock.tickAsync(997);
 		void fleet.ask(holder, {workspace, tokens: 9000, longestWaitMs: 0});
 		await spendAll(fleet, [issuer]);
@@ -152,9 +152,10 @@
 		fleet.close();
 	});
 
-	it('stop an issuer that lost the table, although its peers still ask it', async () => {
-		// One side reaches the table, the other only the old issuer. The new
-		// issuer waits out every lease that the old one may have granted.
+	it('stop an issuer that cannot reach the table, although its peers still send it wishes', async () => {
+		// Network partition: one side reaches the table, the other only the old
+		// issuer. The new issuer must wait until every lease that the old one may
+		// have granted has ended.
 		const cut = new Set<string>();
 		const fleet = createFleet({
 			limits: [limit],
@@ -176,9 +177,9 @@
 		fleet.close();
 	});
 
-	it('lose no tokens with a lost message', async () => {
-		// Half of the messages between daemons are lost, answers with tokens among
-		// them. Whatever was on its way is still there for the next request.
+	it('lose no tokens when messages are lost', async () => {
+		// Half of the messages between daemons are lost, including grants with
+		// tokens. The tokens of lost messages must be available to later requests.
 		const generator = xoroshiro128plus(1);
 		let lossy = false;
 		const fleet = createFleet({
@@ -203,9 +204,9 @@
 		fleet.close();
 	});
 
-	it('give the share of a lost VM to others as soon as the list drops it', async () => {
-		// A VM dies with most of the tokens. Its share starts again from zero at
-		// once by evidence, and only after its lease when time alone is trusted.
+	it('reissue the share of a lost VM as soon as the VM list drops it', async () => {
+		// A VM is lost with most of the tokens. Its share is reissued from zero at
+		// once if departures are trusted, otherwise only after its lease.
 		for (const trustDepartures of [true, false]) {
 			const fleet = createFleet({limits: [limit], settings: {...settings, trustDepartures}});
 			await startAll(fleet);
@@ -221,9 +222,9 @@
 		}
 	});
 
-	it('serve again within a second after all daemons restart at once, from zero', async () => {
-		// Nobody knows what was spent just before, so the burst starts empty; the
-		// rate is there at once.
+	it('admit requests within a second after all daemons restart at once, starting from an empty burst', async () => {
+		// What was spent just before is unknown, so the burst starts empty; the rate
+		// is available at once.
 		const fleet = createFleet({limits: [limit], settings});
 		await startAll(fleet);
 		await spendAll(fleet, ['a', 'b', 'c']);
@@ -239,9 +240,9 @@
 		fleet.close();
 	});
 
-	it('refuse at once when a request would miss its deadline, and soon when the issuer is silent', async () => {
-		// A refusal that comes shortly before the deadline leaves the caller no
-		// time to go elsewhere. Both refusals come with much of the wait left.
+	it('refuse a request at once if it would miss its deadline, and soon if the issuer does not answer', async () => {
+		// A refusal shortly before the deadline leaves the caller no time to go
+		// elsewhere. Both refusals must come with much of the wait left.
 		let silent = false;
 		const fleet = createFleet({limits: [limit], settings, delays: () => silent ? [] : [1]});
 		await startAll(fleet);
@@ -262,9 +263,9 @@
 		fleet.close();
 	});
 
-	it('keep a lowered limit once the holders confirmed', async () => {
-		// Holders have shares of the old limit when a lower one comes into force.
-		// The old limit bounds every window until they confirmed, the new one after.
+	it('enforce a lowered limit once the holders have confirmed it', async () => {
+		// Holders have shares of the old limit when a lower one takes effect. The old
+		// limit bounds every window until they have confirmed, the new one after.
 		const fleet = createFleet({limits: [limit], settings});
 		await startAll(fleet);
 		for (let round = 0; round < 100; round += 1) {
@@ -287,8 +288,8 @@
 	});
 
 	it('pay overuse back from the whole workspace', async () => {
-		// A request used far more than it reserved. The next ones wait until the
-		// rate has made up for it, on whichever daemon they come in.
+		// A request used far more than it reserved. Later requests on any daemon
+		// must wait until the rate has paid it back.
 		const fleet = createFleet({limits: [limit], settings});
 		await startAll(fleet);
 		void fleet.ask('a', {
@@ -299,8 +300,8 @@
 		fleet.close();
 	});
 
-	it('hand everything over on a graceful stop, tokens included', async () => {
-		// Daemons stop one after the other and no token is lost with them.
+	it('hand over all shares and tokens on a graceful stop', async () => {
+		// Daemons stop one after the other; no token may be lost with them.
 		const fleet = createFleet({limits: [limit], settings});
 		await startAll(fleet);
 		const issuer = issuerOf(fleet);
--- a/packages/router/src/test/limits/limit-histories.test.ts
+++ b/packages/router/src/test/limits/limit-histories.test.ts
@@ -9,12 +9,12 @@
 	createFleet, largestExcess, roundingTokens, type TableFault,
 } from './fleet.js';
 
-// What the caller would see if this failed: a workspace spends more than its
-// burst and rate in some window. What happens: any mix of requests, unused
-// tokens, pauses, crashes between two steps, lost, doubled and late messages,
-// table faults and VMs that come and go, on the real code. Why it holds:
-// docs/design/limits.md. At the end all is healed, and no share may be lost
-// for good: the whole burst must come back.
+// Guards against a workspace spending more than its burst and rate in some window.
+// Runs the real code under generated mixes of requests, unused tokens, pauses,
+// crashes between two steps, lost, duplicated and late messages, table faults, and
+// VMs that are added and removed; docs/design/limits.md shows why the bound holds.
+// At the end all faults are cleared, and no share may be lost for good: the whole
+// burst must become available again.
 
 const limit = {name: 'school-1', tokensPerSecond: 1000, burstTokens: 10_000};
 const leaseMs = 20_000;
@@ -34,9 +34,9 @@
 		}),
 	},
 	{weight: 6, arbitrary: fc.record({kind: fc.constant('advance' as const), ms: fc.constantFrom(1, 3, 7, 60, 400, 2500)})},
-	// Everybody asks for more than there is, and uses little of it.
+	// All daemons request more than is available and use all or none of it.
 	{weight: 4, arbitrary: fc.record({kind: fc.constant('flood' as const), tokens: fc.integer({min: 300, max: 3000}), usedShare: fc.constantFrom(0, 1)})},
-	// A daemon sleeps over its lease, then asks as soon as it wakes while others spend what there is.
+	// A daemon is paused beyond its lease while others spend all tokens, and requests tokens as soon as it resumes.
 	{weight: 1, arbitrary: fc.record({kind: fc.constant('oversleep' as const), name: nameOf, tokens: fc.integer({min: 300, max: 3000})})},
 	{weight: 1, arbitrary: fc.record({kind: fc.constant('herd' as const), remaining: fc.subarray(names)})},
 	{weight: 1, arbitrary: fc.record({kind: fc.constant('advance' as const), ms: fc.constantFrom(leaseMs / 2, leaseMs * 3)})},
@@ -183,28 +183,28 @@
 			}
 		}
 
-		// Two leases for time alone, what was late, and a refill of the burst.
+		// Long enough for two leases to expire without other evidence, late messages to arrive and the burst to refill.
 		await clock.tickAsync((leaseMs * 5) + 10_000);
 		const last = fleet.ask('a', {workspace: 'school-1', tokens: limit.burstTokens * 0.9, longestWaitMs: 2000});
 		await clock.tickAsync(2000);
 		const result = await last;
 		assert.isBelow(largestExcess(fleet.charges, limit), roundingTokens);
-		assert.isTrue(result?.granted, 'the burst never came back');
+		assert.isTrue(result?.granted, 'the burst is not available again');
 	} finally {
 		fleet.close();
 		clock.uninstall();
 	}
 }
 
-describe('limits over generated histories', () => {
-	it('hold in histories that once failed', async function () {
+describe('limits under generated histories', () => {
+	it('hold in histories that failed before', async function () {
 		this.timeout(60_000);
 		for (const failed of failedHistories) {
 			await runHistory(failed as HistoryOf);
 		}
 	});
 
-	it('never exceed burst + rate x t, and no share is lost for good', async function () {
+	it('never admit more than burst + rate x t and lose no share for good', async function () {
 		const numRuns = Number(process.env.LIMIT_HISTORIES ?? 100);
 		this.timeout(60_000 + (numRuns * 1000));
 		await fc.assert(
--- a/packages/router/src/test/limits/limiter-basics.test.ts
+++ b/packages/router/src/test/limits/limiter-basics.test.ts
@@ -16,7 +16,7 @@
 		clock.uninstall();
 	});
 
-	it('serves the whole burst through one new daemon at once', async () => {
+	it('grants the whole burst to one new daemon at once', async () => {
 		const fleet = createFleet({limits: [limit]});
 		fleet.start('a');
 		const first = fleet.ask('a', {workspace: 'school-1', tokens: 10_000, longestWaitMs: 1000});
@@ -30,7 +30,7 @@
 		fleet.close();
 	});
 
-	it('moves tokens to whichever daemon is asked and never above the limit', async () => {
+	it('moves tokens to the daemons that get requests and never exceeds the limit', async () => {
 		const fleet = createFleet({limits: [limit]});
 		for (const name of ['a', 'b', 'c']) {
 			fleet.start(name);
--- a/packages/router/src/test/limits/shard-issuer.test.ts
+++ b/packages/router/src/test/limits/shard-issuer.test.ts
@@ -4,7 +4,7 @@
 import {
 	type ShareGrant, ShareGrantSchema, type ShareWish, ShareWishSchema,
 } from '../../links.js';
-import {createHeldShare, lowerAndWish} from '../../lib/limits/held-share.js';
+import {createHeldShare, prepareWish} from '../../lib/limits/held-share.js';
 import {defaultLimiterSettings} from '../../lib/limits/limiter-settings.js';
 import {createLivenessEvidence} from '../../lib/limits/liveness-evidence.js';
 import {createShareHolder} from '../../lib/limits/share-holder.js';
@@ -47,9 +47,9 @@
 }
 
 describe('createShareHolder', () => {
-	it('applies no grant of an issuer that has been replaced', async () => {
-		// The daemon told the new issuer that it has nothing; then the old issuer's
-		// answer arrives. These tokens may have been issued anew.
+	it('ignores a grant of an issuer that has been replaced', async () => {
+		// The daemon reported to the new issuer that it holds nothing; then the old
+		// issuer's answer arrives. Its tokens may have been issued again.
 		const limit = {name: workspace, tokensPerSecond: 1000, burstTokens: 1000};
 		const issuer = {generation: 1, issuer: 'old'};
 		const holder = createShareHolder({
@@ -72,11 +72,11 @@
 	});
 });
 
-describe('createShareHolder, once it forgot a share', () => {
-	it('does not have spent tokens credited again', async () => {
+describe('createShareHolder after deleting a share', () => {
+	it('does not cause spent tokens to be credited again', async () => {
 		// Tokens were granted and spent, the lease ended unnoticed by the issuer, and
-		// the empty share was forgotten. The next wish must not say that the grant
-		// never came, or the issuer would put its tokens back.
+		// the empty share was deleted. If the next wish reported the grant as not
+		// applied, the issuer would return its tokens to the reserve.
 		const clock = FakeTimers.install();
 		const wishes: ShareWish[] = [];
 		const holder = createShareHolder({
@@ -112,9 +112,9 @@
 });
 
 describe('createShardIssuer', () => {
-	it('does not go back to an older wish that arrives late', () => {
-		// A daemon had nothing, then got 600 tokens. The message from before comes
-		// again: taken for the latest it would free these tokens for others.
+	it('ignores an older wish that arrives late', () => {
+		// A daemon held nothing, then got 600 tokens. Its earlier wish arrives again:
+		// taken for the latest, it would free these tokens for other daemons.
 		const clock = FakeTimers.install();
 		const {issuer, grants} = startIssuer();
 		const origin = {name: 'b', incarnation: 1n};
@@ -133,9 +133,10 @@
 		clock.uninstall();
 	});
 
-	it('takes back no tokens of a holder whose lease has ended', () => {
-		// A daemon gives tokens back, and the message arrives long after its lease,
-		// when the tokens were issued anew and spent. They must not come again.
+	it('credits no tokens returned by a holder whose lease has ended', () => {
+		// A daemon returns tokens, and the message arrives long after the end of its
+		// lease, when the tokens have been issued again and spent. Crediting them
+		// would let them be spent twice.
 		const clock = FakeTimers.install();
 		const {issuer, grants} = startIssuer();
 		const origin = {name: 'b', incarnation: 1n};
@@ -154,9 +155,9 @@
 		clock.uninstall();
 	});
 
-	it('keeps the room of tokens that are on their way back', () => {
-		// Tokens travel back while the share grows again into their room: without
-		// keeping it, both could be spent on top of a full reserve.
+	it('keeps burst capacity for returned tokens in flight', () => {
+		// While returned tokens are in flight, the share could grow into their
+		// capacity: both could then be spent on top of a full reserve.
 		const share = createHeldShare(workspace, 0, 0);
 		share.level = {
 			rate: 240, burst: 1000, tokens: 1000, at: 0,
@@ -164,7 +165,7 @@
 		share.demand = 200;
 		share.lastAskedAt = 0;
 		share.leaseEnd = Number.POSITIVE_INFINITY;
-		const figures = lowerAndWish(share, defaultLimiterSettings, 0);
+		const figures = prepareWish(share, defaultLimiterSettings, 0);
 		assert.isAbove(figures.returned, 0);
 		assert.isAtMost(share.level.burst + figures.returned, 1000);
 	});
