--- a/packages/router/src/gateway.ts
+++ b/packages/router/src/gateway.ts
@@ -1,4 +1,4 @@
-/** The HTTP side toward callers, and what it asks of the other parts. */
+/** The HTTP server for callers, and the interfaces that it needs from other modules. */
 export type * from './lib/serving/ports.js';
 export type {Caller, KeyRing} from './lib/configuration/key-ring.js';
 export * from './lib/gateway/gateway-errors.js';
--- a/packages/router/src/lib/gateway/admission.ts
+++ b/packages/router/src/lib/gateway/admission.ts
@@ -1,4 +1,4 @@
-/** Decides whether a request may run: its key, its service, its tokens, its turn. */
+/** Admission of requests: authentication, access to the service, token quota, and the fair queue. */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type ModelService} from '../configuration/document.js';
 import {type DocumentIndex} from '../configuration/document-index.js';
@@ -10,7 +10,7 @@
 
 const bearer = /^bearer +(?<key>\S+)$/iv;
 
-/** Reads the key that a caller presented; empty when there is none. */
+/** Reads the API key from the headers; empty when there is none. */
 export function presentedKey(headers: IncomingHttpHeaders): string {
 	const fromBearer = bearer.exec(headers.authorization ?? '')?.groups?.key;
 	const fromHeader = headers['x-api-key'];
@@ -18,9 +18,9 @@
 }
 
 /**
- * Tells whose request it is.
+ * Authenticates the caller.
  *
- * @throws {GatewayError} `invalid_api_key`; the text never repeats the key.
+ * @throws {GatewayError} `invalid_api_key`; the message never contains the key.
  */
 export function authenticate(keyRing: KeyRing, headers: IncomingHttpHeaders): Caller {
 	const caller = keyRing.authenticate(presentedKey(headers));
@@ -32,7 +32,7 @@
 }
 
 /**
- * Finds the service behind a model's name.
+ * Finds the service that serves the requested model.
  *
  * @throws {GatewayError} `model_not_found` or `service_forbidden`.
  */
@@ -61,16 +61,16 @@
 	}
 }
 
-const comeBackMs = 1000;
+const notReadyRetryMs = 1000;
 
 /**
- * Takes the configuration in force.
+ * Returns the active configuration.
  *
- * @throws {GatewayError} `not_ready` while there is none that may be served by.
+ * @throws {GatewayError} `not_ready` while there is no configuration that is safe to serve with.
  */
 export function requireConfiguration(index: DocumentIndex | undefined): DocumentIndex {
 	if (index === undefined) {
-		throw new GatewayError('not_ready', 'This router can\'t serve now. Nothing was run.', comeBackMs);
+		throw new GatewayError('not_ready', 'This router can\'t serve now. Nothing was run.', notReadyRetryMs);
 	}
 
 	return index;
@@ -85,29 +85,29 @@
 	maxOutputTokens: number;
 	/** Milliseconds that the request may wait for tokens. */
 	longestTokenWaitMs: number;
-	/** Milliseconds that the request may wait for its turn. */
+	/** Milliseconds that the request may wait in the queue. */
 	longestTurnWaitMs: number;
 	signal: AbortSignal;
 };
 
-/** A request that may run. */
+/** The result of an admitted request. */
 export type Admission = {
 	priority: number;
-	/** Gives back what was not used; called once, however the request ended. */
+	/** Returns unused tokens and leaves the queue; must be called exactly once, also after a failure. */
 	release: (usedTokens: number) => void;
 };
 
 /**
- * Takes the request's tokens, then waits for its turn.
+ * Reserves the request's tokens, then waits in the fair queue.
  *
- * @throws {GatewayError} `burst_exceeded`, `rate_limited` or `overloaded`, all true to "not run".
+ * @throws {GatewayError} `burst_exceeded`, `rate_limited` or `overloaded`; in all cases nothing was run.
  */
 export async function admit(options: AdmitOptions): Promise<Admission> {
 	const {workspace} = options.caller;
 	const tokens = options.promptTokens + options.maxOutputTokens;
 	const result = await options.limiter.reserve(workspace.name, tokens, options.longestTokenWaitMs);
 	if (!result.granted && !Number.isFinite(result.retryAfterMs)) {
-		// No wait would ever end in a grant, so no time to come back is told.
+		// No wait can end in a grant, so the error has no retry time.
 		const why = `The request may take ${tokens} tokens, more than the whole burst of workspace ${workspace.name} (${workspace.burstTokens}).`;
 		throw new GatewayError('burst_exceeded', `${why} Lower max_tokens or shorten the prompt. Nothing was run.`);
 	}
@@ -118,22 +118,22 @@
 
 	const {reservation} = result;
 	try {
-		const ticket = await takeTurn(options, tokens);
-		return {priority: ticket.priority, release: releaseOf(reservation, ticket)};
+		const ticket = await waitForTurn(options, tokens);
+		return {priority: ticket.priority, release: createRelease(reservation, ticket)};
 	} catch (error) {
 		reservation.settle(0);
 		throw error;
 	}
 }
 
-function releaseOf(reservation: Reservation, ticket: QueueTicket): Admission['release'] {
+function createRelease(reservation: Reservation, ticket: QueueTicket): Admission['release'] {
 	return usedTokens => {
 		reservation.settle(usedTokens);
 		ticket.release(usedTokens);
 	};
 }
 
-async function takeTurn(options: AdmitOptions, cost: number): Promise<QueueTicket> {
+async function waitForTurn(options: AdmitOptions, cost: number): Promise<QueueTicket> {
 	const {workspace} = options.caller;
 	const result = await options.queue.enter({
 		workspace: workspace.name,
--- a/packages/router/src/lib/gateway/attempts.ts
+++ b/packages/router/src/lib/gateway/attempts.ts
@@ -1,7 +1,7 @@
 /**
- * Runs one request on one endpoint after another until it is answered. A
- * request for a model changes nothing, so running it again is safe; what the
- * caller already has is not sent again (see stream-relay.ts).
+ * Retries a request on other endpoints until one answers. Model requests have
+ * no side effects, so a retry is safe; events that the caller already received
+ * are not sent again (see stream-relay.ts).
  */
 import {type LayerError} from '../errors/layer-error.js';
 import {
@@ -12,7 +12,7 @@
 } from '../serving/ports.js';
 import {GatewayError} from './gateway-errors.js';
 
-/** What one attempt learned, also when it failed. */
+/** Load and token counts of one attempt, also filled in when it fails. */
 export type AttemptReport = {
 	load?: EngineLoad;
 	cachedTokens: number;
@@ -21,7 +21,7 @@
 	firstTokenMs?: number;
 };
 
-/** Runs the request on one endpoint; fills the report as it goes. */
+/** Runs the request on one endpoint and fills in the report as data arrives. */
 export type Attempt = (placement: Placement, report: AttemptReport) => Promise<void>;
 
 /** Options of {@link runAttempts}. */
@@ -29,29 +29,29 @@
 	placer: Placer;
 	budget: RetryBudget;
 	request: Omit<PlacementRequest, 'excluded'>;
-	/** Most endpoints to try, the first included. */
+	/** Maximum number of attempts, including the first. */
 	mostAttempts: number;
 	signal: AbortSignal;
 	attempt: Attempt;
-	/** Hears of each failed attempt. */
+	/** Called for each failed attempt. */
 	onFailure: (endpoint: string, error: LayerError) => void;
 };
 
-/** Milliseconds after which an endpoint that failed may be asked again. */
-const comeBackMs = 1000;
+/** Retry time that callers are given after endpoint failures. */
+const defaultRetryAfterMs = 1000;
 
 const endpointErrors = [
 	EndpointBrokenError, EndpointCrossedError, EndpointRefusedError, EndpointSilentError, EndpointUnreachableError,
 ] as const;
 
-/** Refusals by which an engine says that it ran nothing. */
+/** Statuses with which an engine refuses a request without running it. */
 const statusesNotRun = new Set([409, 429]);
 const statusVersionRefused = 409;
 
 /**
- * Tries endpoints until one answers.
+ * Runs the request on endpoints until one answers.
  *
- * @throws {GatewayError} `no_endpoint` when provably nothing ran, else `engine_failed`.
+ * @throws {GatewayError} `no_endpoint` when it is certain that nothing ran, else `engine_failed`.
  */
 export async function runAttempts(options: AttemptOptions): Promise<void> {
 	const excluded = new Set<string>();
@@ -60,18 +60,18 @@
 	options.budget.deposit();
 	for (let count = 0; count < options.mostAttempts; count++) {
 		options.signal.throwIfAborted();
-		const isFree = lastError === undefined || isVersionRefusal(lastError);
-		if (!isFree && !options.budget.withdraw()) {
+		const needsNoBudget = lastError === undefined || isVersionRefusal(lastError);
+		if (!needsNoBudget && !options.budget.withdraw()) {
 			break;
 		}
 
 		const request = {...options.request, excluded};
-		const placement = placeOrAgain(options.placer, request, excluded);
+		const placement = placeOrRetryExcluded(options.placer, request, excluded);
 		if (placement === undefined) {
 			break;
 		}
 
-		const error = await runOne(options, request, placement);
+		const error = await runAttempt(options, request, placement);
 		if (error === undefined) {
 			return;
 		}
@@ -82,14 +82,14 @@
 		options.onFailure(placement.endpoint, error);
 	}
 
-	throw giveUp(mayHaveRun, lastError);
+	throw createFinalError(mayHaveRun, lastError);
 }
 
 /**
- * Where every endpoint has failed this request once, one that came back since
- * is better than none: a small service has a single replica.
+ * When every endpoint has failed this request once, retries them all, since one
+ * may have recovered: a small service may have a single replica.
  */
-function placeOrAgain(placer: Placer, request: PlacementRequest, excluded: Set<string>): Placement | undefined {
+function placeOrRetryExcluded(placer: Placer, request: PlacementRequest, excluded: Set<string>): Placement | undefined {
 	const placement = placer.place(request);
 	if (placement !== undefined || excluded.size === 0) {
 		return placement;
@@ -99,7 +99,7 @@
 	return placer.place(request);
 }
 
-async function runOne(options: AttemptOptions, request: PlacementRequest, placement: Placement): Promise<LayerError | undefined> {
+async function runAttempt(options: AttemptOptions, request: PlacementRequest, placement: Placement): Promise<LayerError | undefined> {
 	const report: AttemptReport = {cachedTokens: 0, promptTokens: request.promptTokens, outputTokens: 0};
 	const finish = (result: Outcome['result']) => {
 		options.placer.finished(request, placement, {endpoint: placement.endpoint, result, ...report});
@@ -109,7 +109,7 @@
 	try {
 		await options.attempt(placement, report);
 	} catch (error) {
-		const isEndpointError = isBlamedOnEndpoint(error);
+		const isEndpointError = isEndpointFailure(error);
 		if (error instanceof EndpointRefusedError && error.load !== undefined) {
 			options.placer.observe(placement.endpoint, error.load);
 		}
@@ -126,15 +126,15 @@
 	return undefined;
 }
 
-function isBlamedOnEndpoint(error: unknown): error is LayerError {
+function isEndpointFailure(error: unknown): error is LayerError {
 	return endpointErrors.some(kind => error instanceof kind);
 }
 
 /**
- * An engine that has other weights, or is loading some, refuses at once. That is
- * no sign of trouble and costs it nothing: it neither counts against the
- * endpoint nor takes from the budget, which a change of weights would else use
- * up while healthy replicas stand by.
+ * An engine that has another weights version, or is loading one, refuses at
+ * once. This is not a fault and costs the engine nothing, so it neither counts as
+ * an endpoint failure nor consumes the retry budget. Otherwise a rollout would
+ * exhaust the budget while healthy replicas are available.
  */
 function isVersionRefusal(error: unknown): boolean {
 	return error instanceof EndpointRefusedError && error.status === statusVersionRefused;
@@ -145,9 +145,9 @@
 		|| (error instanceof EndpointRefusedError && statusesNotRun.has(error.status));
 }
 
-function giveUp(mayHaveRun: boolean, cause: LayerError | undefined): GatewayError {
+function createFinalError(mayHaveRun: boolean, cause: LayerError | undefined): GatewayError {
 	const options = cause === undefined ? undefined : {cause};
 	return mayHaveRun
-		? new GatewayError('engine_failed', 'No endpoint gave a whole answer. Send the request again.', comeBackMs, options)
-		: new GatewayError('no_endpoint', 'No endpoint can take the request now. Nothing was run.', comeBackMs, options);
+		? new GatewayError('engine_failed', 'No endpoint gave a whole answer. Send the request again.', defaultRetryAfterMs, options)
+		: new GatewayError('no_endpoint', 'No endpoint can take the request now. Nothing was run.', defaultRetryAfterMs, options);
 }
--- a/packages/router/src/lib/gateway/caller-connection.ts
+++ b/packages/router/src/lib/gateway/caller-connection.ts
@@ -1,8 +1,8 @@
-/** The caller's side of one request: its deadline, its going away, its pace. */
+/** The caller's connection during one request: deadline, disconnects and backpressure. */
 import {type ServerResponse} from 'node:http';
 import {GatewayError} from './gateway-errors.js';
 
-/** Why work for a caller ends when the caller has gone. */
+/** The caller disconnected, or stopped reading the response. */
 export class CallerGoneError extends Error {
 	override readonly name = 'CallerGoneError';
 }
@@ -11,23 +11,23 @@
 export type WatchOptions = {
 	/** Milliseconds until the deadline. */
 	deadlineMs: number;
-	/** Milliseconds that a caller may leave a full buffer unread. */
+	/** Milliseconds that a full write buffer may stay undrained before the caller is disconnected. */
 	stallMs: number;
 };
 
-/** A caller that waits for its answer. */
+/** The connection of a caller that waits for its response. */
 export type CallerConnection = {
 	/** Aborts with `CallerGoneError` or `GatewayError` `deadline_exceeded`. */
 	signal: AbortSignal;
-	/** Milliseconds that are left. */
+	/** Milliseconds until the deadline. */
 	remainingMs: () => number;
-	/** Writes and waits while the caller is slow, so that memory stays bounded. */
+	/** Writes, and waits for the buffer to drain when it is full, so that memory stays bounded. */
 	write: (text: string) => Promise<void>;
-	/** Stops watching; called once the answer is over. */
+	/** Stops watching; must be called when the response has ended. */
 	done: () => void;
 };
 
-/** Watches the connection that a response goes to. */
+/** Watches a response's connection for disconnects and the deadline. */
 export function watchCaller(raw: ServerResponse, options: WatchOptions): CallerConnection {
 	const abort = new AbortController();
 	const endsAt = performance.now() + options.deadlineMs;
@@ -47,7 +47,7 @@
 		async write(text) {
 			abort.signal.throwIfAborted();
 			if (!raw.write(text)) {
-				await drained(raw, options.stallMs, abort.signal);
+				await waitForDrain(raw, options.stallMs, abort.signal);
 			}
 		},
 		done() {
@@ -58,29 +58,30 @@
 }
 
 /**
- * A caller that stops reading would hold an engine's slot for as long as its
- * connection stands. Past the limit the connection is destroyed.
+ * Waits until the write buffer is drained. A caller that stops reading would
+ * occupy an engine slot for as long as its connection is open, so the connection
+ * is destroyed after `stallMs`.
  */
-async function drained(raw: ServerResponse, stallMs: number, signal: AbortSignal): Promise<void> {
+async function waitForDrain(raw: ServerResponse, stallMs: number, signal: AbortSignal): Promise<void> {
 	await new Promise<void>((resolve, reject) => {
-		const settle = () => {
+		const cleanUp = () => {
 			clearTimeout(timer);
 			raw.off('drain', onDrain);
 			signal.removeEventListener('abort', onAbort);
 		};
 
 		const onDrain = () => {
-			settle();
+			cleanUp();
 			resolve();
 		};
 
 		const onAbort = () => {
-			settle();
+			cleanUp();
 			reject(signal.reason as Error);
 		};
 
 		const timer = setTimeout(() => {
-			settle();
+			cleanUp();
 			raw.destroy();
 			reject(new CallerGoneError('The caller stopped reading.'));
 		}, stallMs);
--- a/packages/router/src/lib/gateway/event-reader.ts
+++ b/packages/router/src/lib/gateway/event-reader.ts
@@ -1,17 +1,17 @@
-/** Reads server-sent events from the pieces of an engine's answer. */
+/** Parses server-sent events from the chunks of an engine's response. */
 import {createParser} from 'eventsource-parser';
 
 /** One event of a stream. */
 export type StreamEvent = {
-	/** Position that the engine gave it; -1 when it gave none. */
+	/** Position in the stream, from the event id; -1 when the event has none. */
 	position: number;
 	data: string;
 };
 
-/** Marks the explicit end of a stream. */
+/** Data of the event that ends a stream. */
 export const endOfStream = '[DONE]';
 
-/** Turns pieces into the events that they complete. */
+/** Returns the events that each chunk completes. */
 export type EventReader = {
 	read: (chunk: Uint8Array) => StreamEvent[];
 };
--- a/packages/router/src/lib/gateway/gateway-errors.ts
+++ b/packages/router/src/lib/gateway/gateway-errors.ts
@@ -1,7 +1,7 @@
-/** What the gateway tells callers when it does not answer as asked. */
+/** Error responses of the gateway. */
 import {LayerError} from '../errors/layer-error.js';
 
-/** Every refusal: its status, its type in the usual error object, and whether nothing ran. */
+/** HTTP status and error type of each error code, and whether it guarantees that nothing was run. */
 export const refusals = {
 	invalid_request: {status: 400, type: 'invalid_request_error', notRun: true},
 	invalid_api_key: {status: 401, type: 'authentication_error', notRun: true},
@@ -21,12 +21,12 @@
 
 export type RefusalCode = keyof typeof refusals;
 
-/** An answer other than the one that was asked for. */
+/** An error that is sent to the caller. */
 export class GatewayError extends LayerError {
 	constructor(
 		readonly code: RefusalCode,
 		message: string,
-		/** Milliseconds after which the same request may pass. */
+		/** Milliseconds after which a retry may succeed. */
 		readonly retryAfterMs?: number,
 		options?: ErrorOptions,
 	) {
@@ -36,7 +36,7 @@
 
 const msPerSecond = 1000;
 
-/** The body of an error answer, in the form that client libraries expect. */
+/** The body of an error response, in the format that client libraries expect. */
 export function errorBody(error: GatewayError) {
 	const {type, notRun} = refusals[error.code];
 	return {
@@ -46,7 +46,7 @@
 	};
 }
 
-/** Headers of an error answer. `Retry-After` counts whole seconds, the other milliseconds. */
+/** Headers of an error response: `Retry-After` in whole seconds, `Retry-After-Ms` in milliseconds. */
 export function errorHeaders(error: GatewayError): Record<string, string> {
 	if (error.retryAfterMs === undefined) {
 		return {};
--- a/packages/router/src/lib/gateway/gateway-server.ts
+++ b/packages/router/src/lib/gateway/gateway-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that callers reach through the balancer. */
+/** The HTTP server that callers reach through the load balancer. */
 import {randomUUID} from 'node:crypto';
 import fastify, {
 	type FastifyError, type FastifyInstance, type FastifyReply, type FastifyRequest,
@@ -16,22 +16,22 @@
 /** Options of {@link createGatewayServer}. */
 export type GatewayServerOptions = {
 	models: ModelGateway;
-	/** The configuration in force; `undefined` while the daemon may not serve. */
+	/** The active configuration; `undefined` while the daemon may not serve. */
 	configuration: () => DocumentIndex | undefined;
 	keyRing: KeyRing;
-	/** Whether the balancer should send new requests here. */
+	/** Whether the load balancer should send new requests to this daemon. */
 	isReady: () => boolean;
-	/** Largest body of a request for a model, in bytes. */
+	/** Largest body of a model request, in bytes. */
 	largestBodyBytes: number;
 	/** Largest header section, in bytes. */
 	largestHeaderBytes: number;
-	/** Adds further routes, such as plain services, before the server listens. */
+	/** Adds routes, such as those of plain services, before the server listens. */
 	extend?: (app: FastifyInstance) => void;
-	/** Hears of faults of the router itself. */
+	/** Called for internal errors of the router. */
 	onFault: (error: unknown) => void;
 };
 
-/** The server. */
+/** The HTTP server of the gateway. */
 export type GatewayServer = {
 	/** Resolves to the bound address as a URL. */
 	listen: (address: BindAddress) => Promise<string>;
@@ -39,7 +39,7 @@
 	close: () => Promise<void>;
 };
 
-/** Errors of the HTTP layer by their code, as callers are told. */
+/** Maps Fastify error codes to the errors that callers get. */
 const httpErrors: Record<string, (error: FastifyError) => GatewayError> = {
 	FST_ERR_CTP_BODY_TOO_LARGE: () => new GatewayError('request_too_large', 'The body is larger than this router takes.'),
 	FST_ERR_CTP_EMPTY_JSON_BODY: () => new GatewayError('invalid_request', 'The body is empty; send JSON.'),
@@ -47,11 +47,11 @@
 	FST_ERR_CTP_INVALID_MEDIA_TYPE: () => new GatewayError('invalid_request', 'Send the body as application/json.'),
 };
 
-/** Creates the server; it listens when told. */
+/** Creates the server; call `listen` to open the port. */
 export function createGatewayServer(options: GatewayServerOptions): GatewayServer {
 	const app = fastify({
 		bodyLimit: options.largestBodyBytes,
-		// Kept-open connections end with the answers under way.
+		// On close, keep-alive connections end after their running responses.
 		forceCloseConnections: 'idle',
 		return503OnClosing: false,
 		http: {maxHeaderSize: options.largestHeaderBytes},
@@ -59,8 +59,8 @@
 	app.setErrorHandler(async (error: FastifyError, _req, reply) => sendError(reply, toGatewayError(error, options.onFault)));
 	app.setNotFoundHandler(async (_req, reply) => sendError(reply, new GatewayError('service_not_found', 'There is nothing at this path.')));
 
-	// A caller that reuses its connection would meet its end; told in time, it
-	// opens a new one, which the balancer sends elsewhere.
+	// While the daemon isn't ready, keep-alive callers are asked to close: a reused
+	// connection could end under them, and the balancer sends a new one elsewhere.
 	app.addHook('onRequest', async (_req, reply) => {
 		if (!options.isReady()) {
 			reply.raw.setHeader('connection', 'close');
--- a/packages/router/src/lib/gateway/model-gateway-parts.ts
+++ b/packages/router/src/lib/gateway/model-gateway-parts.ts
@@ -1,4 +1,4 @@
-/** What the gateway for models works with, and what it reports. */
+/** Dependencies of the model gateway, and the records that it reports. */
 import {type DocumentIndex} from '../configuration/document-index.js';
 import {type EngineClient} from '../endpoints/engine-client.js';
 import {type ReadyVersions} from '../endpoints/version-choice.js';
@@ -10,25 +10,25 @@
 } from '../serving/ports.js';
 import {type TokenUsage} from './usage.js';
 
-/** Bounds of requests, from the daemon's settings. Times are in milliseconds. */
+/** Limits of requests, from the daemon's settings. Times are in milliseconds. */
 export type ModelGatewayBounds = {
 	defaultOutputTokens: number;
 	largestOutputTokens: number;
-	/** Deadline of a request that names none. */
+	/** Default deadline of a request, which is also the longest. */
 	deadlineMs: number;
 	longestTokenWaitMs: number;
 	longestTurnWaitMs: number;
-	/** How long a caller may leave a full buffer unread. */
+	/** How long a full write buffer may stay undrained. */
 	callerStallMs: number;
 	mostAttempts: number;
 };
 
-/** What became of one request, for logs, metrics and service levels. */
+/** The outcome of one request, for logs, metrics and service levels. */
 export type RequestRecord = {
 	requestId: string;
 	workspace: string;
 	service: string;
-	/** `answered`, `gone` when the caller left, or the refusal's code. */
+	/** `answered`, `engine_` and the status of an engine's error response, `gone` when the caller disconnected, or the error code. */
 	result: string;
 	firstTokenMs: number | undefined;
 	durationMs: number;
@@ -36,11 +36,11 @@
 	attempts: number;
 };
 
-/** The parts behind the gateway. */
+/** Dependencies of the gateway. */
 export type ModelGatewayParts = {
-	/** The configuration in force; `undefined` while the daemon may not serve. */
+	/** The active configuration; `undefined` while the daemon may not serve. */
 	configuration: () => DocumentIndex | undefined;
-	/** Ready replicas of a service by version. */
+	/** Ready replicas of a service by weights version. */
 	versionsOf: (service: string) => ReadyVersions;
 	keyRing: KeyRing;
 	limiter: TokenLimiter;
@@ -48,10 +48,10 @@
 	budget: RetryBudget;
 	hashPrompt: HashPrompt;
 	engines: EngineClient;
-	/** The queue in front of a service. */
+	/** The fair queue of a service. */
 	queueOf: (service: string) => FairQueue;
 	bounds: ModelGatewayBounds;
 	onRecord: (record: RequestRecord) => void;
-	/** Hears of each endpoint that failed a request. */
+	/** Called for each endpoint that failed a request. */
 	onEndpointFailure: (requestId: string, endpoint: string, error: LayerError) => void;
 };
--- a/packages/router/src/lib/gateway/model-gateway.ts
+++ b/packages/router/src/lib/gateway/model-gateway.ts
@@ -1,4 +1,4 @@
-/** Serves requests for models: admission, placement, stream or whole answer. */
+/** Serves model requests: admission, placement, and a streamed or complete response. */
 import {Buffer} from 'node:buffer';
 import {type IncomingHttpHeaders, type ServerResponse} from 'node:http';
 import {type ModelService} from '../configuration/document.js';
@@ -22,7 +22,7 @@
 import {createStreamRelay, type StreamRelay} from './stream-relay.js';
 import {readUsage, type TokenUsage} from './usage.js';
 
-/** One request as the HTTP server hands it over. */
+/** One request from the HTTP server, with the response to write to. */
 export type ModelExchange = {
 	requestId: string;
 	form: ModelForm;
@@ -31,17 +31,17 @@
 	raw: ServerResponse;
 };
 
-/** Serves requests for models. */
+/** Serves model requests. */
 export type ModelGateway = {
 	handle: (exchange: ModelExchange) => Promise<void>;
-	/** Requests under way. */
+	/** Number of requests in progress. */
 	readonly running: number;
 };
 
 const statusOk = 200;
 const bytesOf = (text: string) => Buffer.byteLength(text);
 
-/** Creates the gateway over its parts. */
+/** Creates the gateway. */
 export function createModelGateway(parts: ModelGatewayParts): ModelGateway {
 	let running = 0;
 
@@ -63,7 +63,7 @@
 	};
 }
 
-/** The state of one request from its arrival to its end. */
+/** Creates the state of one request. */
 function createRun(parts: ModelGatewayParts, exchange: ModelExchange) {
 	const {raw, requestId} = exchange;
 	const startedAt = performance.now();
@@ -123,15 +123,15 @@
 			signal: caller.signal,
 		});
 		try {
-			await runPlaced(plan, caller, admission);
+			await runWithVersionFallback(plan, caller, admission);
 		} finally {
 			admission.release(usedTokens(plan));
 		}
 	}
 
 	/**
-	 * What the workspace is charged. An answer that broke off has no usage
-	 * report, so it is charged its prompt and every event that was passed on.
+	 * Tokens that the workspace is charged. A stream that broke off has no usage
+	 * report, so it is charged for its prompt and for each relayed event.
 	 */
 	function usedTokens(plan: Plan): number {
 		if (record.usage !== undefined) {
@@ -142,12 +142,12 @@
 	}
 
 	/**
-	 * What is known of the endpoints' versions lags: while weights change, the
-	 * last replica of the version that was chosen may have gone over a moment
-	 * ago, and each attempt is refused. As long as the caller has got nothing,
-	 * the answer of another version is as good.
+	 * Falls back to other weights versions. Known endpoint versions lag behind:
+	 * during a rollout the last replica of the chosen version may just have
+	 * switched, so that every attempt is refused. As long as nothing was sent to
+	 * the caller, another version may answer.
 	 */
-	async function runPlaced(plan: Plan, caller: CallerConnection, admission: Admission): Promise<void> {
+	async function runWithVersionFallback(plan: Plan, caller: CallerConnection, admission: Admission): Promise<void> {
 		const others = [plan.service.version, ...parts.versionsOf(plan.service.name).keys()];
 		const versions = new Set([plan.version, ...others]);
 		for (const version of versions) {
@@ -156,7 +156,7 @@
 				await runVersion({...plan, version}, caller, admission);
 				return;
 			} catch (error) {
-				if (versions.size === 0 || relay?.begun === true || !isWithoutEndpoint(error)) {
+				if (versions.size === 0 || relay?.started === true || !isUnanswered(error)) {
 					throw error;
 				}
 			}
@@ -196,7 +196,7 @@
 		});
 	}
 
-	async function runOnEndpoint(step: Step): Promise<void> {
+	async function runOnEndpoint(step: AttemptContext): Promise<void> {
 		const {plan, caller, report} = step;
 		const sentAt = performance.now();
 		const answer = await parts.engines.call({
@@ -219,7 +219,7 @@
 		await (plan.request.stream && answer.status === statusOk ? passStream(step, answer, sentAt) : passWhole(step, answer, sentAt));
 	}
 
-	async function passStream(step: Step, answer: EngineAnswer, sentAt: number): Promise<void> {
+	async function passStream(step: AttemptContext, answer: EngineAnswer, sentAt: number): Promise<void> {
 		relay ??= createStreamRelay({
 			raw,
 			caller: step.caller,
@@ -233,11 +233,11 @@
 		try {
 			await relay.pass(answer.chunks);
 		} finally {
-			learn(step.report, relay.usage, relay.position);
+			recordUsage(step.report, relay.usage, relay.position);
 		}
 	}
 
-	async function passWhole(step: Step, answer: EngineAnswer, sentAt: number): Promise<void> {
+	async function passWhole(step: AttemptContext, answer: EngineAnswer, sentAt: number): Promise<void> {
 		const pieces: Uint8Array[] = [];
 		for await (const chunk of answer.chunks) {
 			pieces.push(chunk);
@@ -246,9 +246,9 @@
 		const body = Buffer.concat(pieces);
 		const text = body.toString('utf8');
 		checkJson(text);
-		learn(step.report, readUsage(text), 0);
-		if (relay?.begun) {
-			// An engine refused the resume outright; its error can't follow a stream.
+		recordUsage(step.report, readUsage(text), 0);
+		if (relay?.started) {
+			// The engine rejected the resume; its error response can't be sent inside a stream.
 			throw new EndpointBrokenError(`The engine answered ${answer.status} to a resume.`);
 		}
 
@@ -264,7 +264,7 @@
 		raw.end(body);
 	}
 
-	function learn(report: AttemptReport, usage: TokenUsage | undefined, events: number): void {
+	function recordUsage(report: AttemptReport, usage: TokenUsage | undefined, events: number): void {
 		if (usage === undefined) {
 			report.outputTokens = events;
 			return;
@@ -292,20 +292,20 @@
 			return;
 		}
 
-		const told = error instanceof GatewayError
+		const gatewayError = error instanceof GatewayError
 			? error
 			: new GatewayError('internal_error', 'The router failed on this request. Its log has the request id.', undefined, {cause: error});
-		record.result = told.code;
-		if (relay?.begun) {
-			relay.fail(errorBody(told));
+		record.result = gatewayError.code;
+		if (relay?.started) {
+			relay.fail(errorBody(gatewayError));
 			return;
 		}
 
-		raw.writeHead(refusals[told.code].status, {
-			...errorHeaders(told), 'content-type': 'application/json', 'x-request-id': requestId,
+		raw.writeHead(refusals[gatewayError.code].status, {
+			...errorHeaders(gatewayError), 'content-type': 'application/json', 'x-request-id': requestId,
 		});
-		raw.end(JSON.stringify(errorBody(told)));
-		if (told.code === 'internal_error') {
+		raw.end(JSON.stringify(errorBody(gatewayError)));
+		if (gatewayError.code === 'internal_error') {
 			throw error;
 		}
 	}
@@ -313,17 +313,19 @@
 	return {serve};
 }
 
+/** A checked request, ready to be admitted and run. */
 type Plan = {
+	/** The authenticated caller. */
 	owner: Caller;
 	request: ModelRequest;
 	service: ModelService;
-	/** Weights version that every attempt asks for, so that a resume can follow. */
+	/** Weights version that every attempt requests, since a stream can only resume on the same version. */
 	version: string;
 	promptTokens: number;
 	deadlineMs: number;
 };
 
-type Step = {
+type AttemptContext = {
 	plan: Plan;
 	caller: CallerConnection;
 	admission: Admission;
@@ -332,22 +334,22 @@
 	identity: string;
 };
 
-/** Whether no endpoint of the version that was asked for gave an answer. */
-function isWithoutEndpoint(error: unknown): boolean {
+/** Whether no endpoint of the requested version answered. */
+function isUnanswered(error: unknown): boolean {
 	return error instanceof GatewayError && (error.code === 'no_endpoint' || error.code === 'engine_failed');
 }
 
-/** A caller may shorten its deadline, not lengthen it. */
+/** Callers may shorten the deadline but not lengthen it. */
 function deadlineOf(headers: IncomingHttpHeaders, longestMs: number): number {
 	const asked = Number(headers['x-deadline-ms']);
 	return Number.isFinite(asked) && asked > 0 ? Math.min(asked, longestMs) : longestMs;
 }
 
-/** A body that is no JSON was cut or is another's; it is never passed on as whole. */
+/** A body that isn't valid JSON is truncated or not from the engine, and must not be passed on as complete. */
 function checkJson(text: string): void {
 	try {
 		JSON.parse(text);
 	} catch (error) {
-		throw new EndpointBrokenError('The engine\'s answer is no whole JSON document.', {cause: error});
+		throw new EndpointBrokenError('The engine\'s response is not a complete JSON document.', {cause: error});
 	}
 }
--- a/packages/router/src/lib/gateway/model-request.ts
+++ b/packages/router/src/lib/gateway/model-request.ts
@@ -1,9 +1,9 @@
-/** A caller's request for a model: checked, and made ready for engines. */
+/** Validates model requests and prepares the body for engines. */
 import {z} from 'zod';
 import {formatPath} from '../configuration/parse-document.js';
 import {GatewayError} from './gateway-errors.js';
 
-/** The two forms of the usual API. */
+/** Paths of the two supported request formats, chat and text completion. */
 export const modelForms = {
 	chat: '/v1/chat/completions',
 	text: '/v1/completions',
@@ -21,7 +21,7 @@
 	n: z.number().int().min(1).nullish(),
 };
 
-/** Fields that routing needs; all others pass through unread. */
+/** Fields that the router needs; all others are passed through. */
 const requestSchemas = {
 	chat: z.looseObject({
 		...shared,
@@ -34,37 +34,37 @@
 	}),
 } as const;
 
-/** Bounds that the daemon's settings give. */
+/** Output token limits from the daemon's settings. */
 export type ModelRequestBounds = {
-	/** Output tokens allowed to a request that names none. */
+	/** Limit for requests that set none. */
 	defaultOutputTokens: number;
-	/** Most output tokens that one request may ask for. */
+	/** Largest limit that a request may set. */
 	largestOutputTokens: number;
 };
 
-/** A checked request. */
+/** A validated request. */
 export type ModelRequest = {
 	form: ModelForm;
 	model: string;
-	/** Empty for the bare model. */
+	/** Empty for the base model. */
 	adapter: string;
 	stream: boolean;
-	/** Whether the caller asked for the usage event of a stream. */
+	/** Whether the caller requested the usage event of a stream. */
 	wantsUsage: boolean;
-	/** The prompt as one text, each part after the part before it. */
+	/** The prompt as one text, its parts joined in order. */
 	prompt: string;
-	/** Most tokens that may come back, over all choices. */
+	/** Maximum number of output tokens over all choices. */
 	maxOutputTokens: number;
-	/** What goes to the engine. */
+	/** Body of the request to the engine. */
 	engineBody: string;
 };
 
 /**
- * Checks a body and prepares what the engine gets: the output bound is always
- * stated, since the charge at admission rests on it, and streams always
- * report their usage, since the charge is settled by it.
+ * Validates a body and prepares the one for the engine. It always sets the output
+ * limit, since admission charges tokens by it, and always requests the usage
+ * report of streams, since the charge is settled by it.
  *
- * @throws {GatewayError} `invalid_request` with the path of the wrong field.
+ * @throws {GatewayError} `invalid_request` with the path of the invalid field.
  */
 export function parseModelRequest(form: ModelForm, input: unknown, bounds: ModelRequestBounds): ModelRequest {
 	const result = requestSchemas[form].safeParse(input);
--- a/packages/router/src/lib/gateway/plain-route.ts
+++ b/packages/router/src/lib/gateway/plain-route.ts
@@ -1,4 +1,4 @@
-/** The route of plain services: `/services/SERVICE/...`, any method and body. */
+/** The route of plain (non-model) services: `/services/SERVICE/...`, with any method and body. */
 import {randomUUID} from 'node:crypto';
 import {type FastifyInstance, type FastifyReply, type FastifyRequest} from 'fastify';
 import {type DocumentIndex} from '../configuration/document-index.js';
@@ -16,17 +16,17 @@
 	keyRing: KeyRing;
 	picker: EndpointPicker;
 	proxy: Pick<ServiceProxy, 'handle'>;
-	/** Milliseconds within which an answer must begin. */
+	/** Milliseconds within which the response must begin. */
 	deadlineMs: number;
-	/** Told how each call ended. */
+	/** Called with the outcome of each call. */
 	onEnd: (workspace: string, service: string, event: string, durationMs: number) => void;
-	/** Hears of faults of the router itself. */
+	/** Called for internal errors of the router. */
 	onFault: (error: unknown) => void;
 };
 
 const prefix = '/services/';
 
-/** Adds the route. The body is left unread, since the proxy streams it. */
+/** Adds the route. Body parsers are removed because the proxy streams the body. */
 export function addPlainRoute(app: FastifyInstance, options: PlainRouteOptions): void {
 	void app.register(async scope => {
 		scope.removeAllContentTypeParsers();
--- a/packages/router/src/lib/gateway/stream-relay.ts
+++ b/packages/router/src/lib/gateway/stream-relay.ts
@@ -1,7 +1,7 @@
 /**
- * Passes a stream of events to the caller: in order, each once, with an
- * explicit end. It outlives the engine it began on: a resume goes on from the
- * next position that is wanted.
+ * Relays a stream of events to the caller: in order, each once, with an explicit
+ * end. When an engine fails, the stream resumes on another engine from the next
+ * position.
  */
 import {type ServerResponse} from 'node:http';
 import {EndpointBrokenError} from '../endpoints/endpoint-errors.js';
@@ -13,64 +13,68 @@
 export type StreamRelayOptions = {
 	raw: ServerResponse;
 	caller: CallerConnection;
-	/** Headers of the answer, sent with the first event. */
+	/** Response headers, sent with the first event. */
 	headers: Record<string, string>;
-	/** Whether the caller asked for the usage event. */
+	/** Whether the caller requested the usage event. */
 	wantsUsage: boolean;
-	/** Hears of the first event. */
+	/** Called when the first event arrives. */
 	onFirstEvent: () => void;
 };
 
-/** One stream toward a caller. */
+/** One stream to a caller. */
 export type StreamRelay = {
-	/** Passes on what an engine sends; resolves after the explicit end. */
+	/**
+	 * Relays the chunks of an engine; resolves after the explicit end.
+	 *
+	 * @throws {EndpointBrokenError} when a position or the end event is missing.
+	 */
 	pass: (chunks: AsyncIterable<Uint8Array>) => Promise<void>;
-	/** The next position wanted. */
+	/** The next position expected. */
 	readonly position: number;
-	/** Whether the caller has got anything. */
-	readonly begun: boolean;
-	/** Events that came again after a resume and were dropped. */
-	readonly doubled: number;
+	/** Whether anything was sent to the caller. */
+	readonly started: boolean;
+	/** Events that were repeated after a resume and dropped. */
+	readonly duplicates: number;
 	readonly usage: TokenUsage | undefined;
-	/** Tells an error inside the stream, since its status has gone out. */
+	/** Ends the stream with an error event, since the status has already been sent. */
 	fail: (body: unknown) => void;
 };
 
 const statusOk = 200;
 
-/** Creates a relay before the first event. */
+/** Creates a relay; headers are sent with the first event. */
 export function createStreamRelay(options: StreamRelayOptions): StreamRelay {
 	const {raw, caller} = options;
 	let position = 0;
-	let begun = false;
-	let doubled = 0;
+	let started = false;
+	let duplicates = 0;
 	let usage: TokenUsage | undefined;
 
-	const begin = () => {
-		begun = true;
+	const sendHeaders = () => {
+		started = true;
 		raw.writeHead(statusOk, {
 			...options.headers, 'content-type': 'text/event-stream', 'cache-control': 'no-store',
 		});
 		options.onFirstEvent();
 	};
 
-	/** The text for the caller; empty when the event is not for it. */
-	const take = (event: StreamEvent): string => {
+	/** Formats an event for the caller; empty for duplicates and for a usage event that was not requested. */
+	const formatEvent = (event: StreamEvent): string => {
 		const at = event.position === -1 ? position : event.position;
 		if (at < position) {
-			doubled++;
+			duplicates++;
 			return '';
 		}
 
 		if (at > position) {
-			throw new EndpointBrokenError(`The stream jumped from position ${position} to ${at}.`);
+			throw new EndpointBrokenError(`The stream skipped from position ${position} to ${at}.`);
 		}
 
 		position++;
 		if (mayCarryUsage(event.data)) {
 			const report = readUsage(event.data);
 			usage = report ?? usage;
-			if (report?.alone && !options.wantsUsage) {
+			if (report?.isUsageOnly && !options.wantsUsage) {
 				return '';
 			}
 		}
@@ -89,11 +93,11 @@
 					break;
 				}
 
-				text += take(event);
+				text += formatEvent(event);
 			}
 
-			if (!begun && (text !== '' || ended)) {
-				begin();
+			if (!started && (text !== '' || ended)) {
+				sendHeaders();
 			}
 
 			if (ended) {
@@ -106,8 +110,8 @@
 			}
 		}
 
-		// A clean close without the end mark is a cut stream all the same.
-		throw new EndpointBrokenError(`The stream ended at position ${position} without its end mark.`);
+		// A clean close without the end event is still a truncated stream.
+		throw new EndpointBrokenError(`The stream ended at position ${position} without its end event.`);
 	}
 
 	return {
@@ -118,11 +122,11 @@
 		get position() {
 			return position;
 		},
-		get begun() {
-			return begun;
+		get started() {
+			return started;
 		},
-		get doubled() {
-			return doubled;
+		get duplicates() {
+			return duplicates;
 		},
 		get usage() {
 			return usage;
--- a/packages/router/src/lib/gateway/usage.ts
+++ b/packages/router/src/lib/gateway/usage.ts
@@ -1,4 +1,4 @@
-/** What an engine reports of the tokens that an answer took. */
+/** Token usage reports of engines. */
 import {z} from 'zod';
 
 const usageSchema = z.looseObject({
@@ -7,25 +7,25 @@
 	prompt_tokens_details: z.looseObject({cached_tokens: z.number().int().nonnegative().optional()}).nullish(),
 });
 
-const carrierSchema = z.looseObject({
+const responseSchema = z.looseObject({
 	usage: usageSchema.nullish(),
 	choices: z.array(z.unknown()).optional(),
 });
 
-/** Tokens of one answer. */
+/** Token counts of one response. */
 export type TokenUsage = {
 	promptTokens: number;
 	cachedTokens: number;
 	outputTokens: number;
 };
 
-/** Cheap test that spares most events the parse. */
+/** Cheap check that avoids parsing most events. */
 export function mayCarryUsage(data: string): boolean {
 	return data.includes('"usage":{');
 }
 
-/** Reads the usage of an answer or event; `undefined` when it has none. */
-export function readUsage(json: string): (TokenUsage & {alone: boolean}) | undefined {
+/** Reads the usage of a response or event; `undefined` when it has none. `isUsageOnly` marks an event without choices. */
+export function readUsage(json: string): (TokenUsage & {isUsageOnly: boolean}) | undefined {
 	let value: unknown;
 	try {
 		value = JSON.parse(json);
@@ -33,7 +33,7 @@
 		return undefined;
 	}
 
-	const {data} = carrierSchema.safeParse(value);
+	const {data} = responseSchema.safeParse(value);
 	if (data?.usage === undefined || data.usage === null) {
 		return undefined;
 	}
@@ -42,6 +42,6 @@
 		promptTokens: data.usage.prompt_tokens,
 		cachedTokens: data.usage.prompt_tokens_details?.cached_tokens ?? 0,
 		outputTokens: data.usage.completion_tokens,
-		alone: data.choices?.length === 0,
+		isUsageOnly: data.choices?.length === 0,
 	};
 }
--- a/packages/router/src/lib/links/batch-source.ts
+++ b/packages/router/src/lib/links/batch-source.ts
@@ -1,14 +1,14 @@
-/** The outgoing half of a stream: batches are put in, the transport takes them out. */
+/** The outgoing side of a stream: a queue of batches that the transport iterates. */
 import {type Batch} from '../../gen/hickorywalk/v1/peer_pb.js';
 
-/** Batches on their way to the transport. */
+/** A queue of batches for the transport. */
 export type BatchSource = {
 	put: (batch: Batch) => void;
-	/** Batches that the transport has not taken yet; it takes none while the peer does not read. */
+	/** Number of batches that the transport has not taken yet; it takes none while the peer does not read. */
 	waiting: () => number;
-	/** Ends the stream after what was put. */
+	/** Ends the stream after the queued batches. */
 	end: () => void;
-	/** For the transport; to be iterated once. */
+	/** For the transport; can be iterated only once. */
 	batches: AsyncGenerator<Batch, void>;
 };
 
@@ -18,7 +18,7 @@
 	let ended = false;
 	let wake: (() => void) | undefined;
 
-	async function news(): Promise<void> {
+	async function waitForChange(): Promise<void> {
 		return new Promise(resolve => {
 			wake = resolve;
 		});
@@ -36,7 +36,7 @@
 				return;
 			}
 
-			await news();
+			await waitForChange();
 		}
 	}
 
--- a/packages/router/src/lib/links/link-errors.ts
+++ b/packages/router/src/lib/links/link-errors.ts
@@ -6,7 +6,7 @@
 	readonly code = 'peer_listen';
 }
 
-/** A link ended, or was given up; it is dialled again when it is needed. */
+/** A link ended or was destroyed; it is dialled again when needed. */
 export class PeerLinkError extends LayerError {
 	readonly code = 'peer_link';
 }
--- a/packages/router/src/lib/links/message-queue.ts
+++ b/packages/router/src/lib/links/message-queue.ts
@@ -1,62 +1,62 @@
-/** Messages that wait for the next tick of a link, bounded in number and size. */
+/** Queue of messages for the next tick of a link, bounded in number and batch size. */
 import {type PeerBody, type PeerCase} from './peer-link.js';
 
 /** Options of {@link createMessageQueue}. */
 export type MessageQueueOptions = {
-	/** Most messages that wait; the oldest is dropped for a new one. */
-	mostMessages: number;
-	/** Most bytes of bulk content in one batch; at least one message always goes. */
-	mostBatchBytes: number;
-	/** Milliseconds after which a message that still waits is dropped, bulk content excepted. */
+	/** Maximum number of queued messages; when it is full, the oldest is dropped. */
+	maxMessages: number;
+	/** Maximum bytes of bulk content in one batch; a batch always takes at least one message. */
+	maxBatchBytes: number;
+	/** Milliseconds after which a queued message is dropped, except bulk content. */
 	staleMs: number;
 };
 
-/** A queue of messages toward one peer. */
+/** A queue of messages to one peer. */
 export type MessageQueue = {
 	push: (body: PeerBody) => void;
-	/** Drops what has waited too long. */
+	/** Drops messages older than `staleMs`. */
 	dropStale: () => void;
-	/** Takes what fits into one batch, oldest first. */
+	/** Removes and returns the messages that fit into one batch, oldest first. */
 	takeBatch: () => PeerBody[];
 	size: () => number;
-	/** Messages dropped because the queue was full or they grew stale. */
+	/** Number of messages dropped because the queue was full or they were stale. */
 	dropped: () => number;
 };
 
-/** Bytes of the kinds that can be large; the others are small. */
+/** Approximate bytes of the message kinds that can be large; all others are small. */
 const bulkSizes: Partial<Record<PeerCase, (body: PeerBody) => number>> = {
 	configurationSections: body => body.case === 'configurationSections' ? body.value.changed.reduce((sum, section) => sum + section.json.length, 0) : 0,
 	snapshotPart: body => body.case === 'snapshotPart' ? body.value.content.length : 0,
 };
 
-type Waiting = {body: PeerBody; since: number};
+type QueuedMessage = {body: PeerBody; queuedAt: number};
 
 /** Creates an empty queue. */
 export function createMessageQueue(options: MessageQueueOptions): MessageQueue {
-	let messages: Waiting[] = [];
+	let messages: QueuedMessage[] = [];
 	let dropped = 0;
 
 	/**
-	 * Messages carry ages that were right when they were queued. One that waits
-	 * for a peer to come back would pass for fresh news, such as of a version
-	 * that was the newest an hour ago.
+	 * Messages contain ages that were correct when they were queued. One that was
+	 * queued until a peer came back would look current, such as a configuration
+	 * version that was the newest an hour ago.
 	 */
 	function dropStale(): void {
 		const before = messages.length;
 		const oldest = performance.now() - options.staleMs;
-		messages = messages.filter(({body, since}) => since >= oldest || bulkSizes[body.case] !== undefined);
+		messages = messages.filter(({body, queuedAt}) => queuedAt >= oldest || bulkSizes[body.case] !== undefined);
 		dropped += before - messages.length;
 	}
 
 	return {
 		push(body) {
-			// A peer that does not read must not fill this daemon's memory; old news is worth least.
-			if (messages.length >= options.mostMessages) {
+			// A peer that does not read must not fill this daemon's memory; the oldest message is the least useful.
+			if (messages.length >= options.maxMessages) {
 				messages.shift();
 				dropped++;
 			}
 
-			messages.push({body, since: performance.now()});
+			messages.push({body, queuedAt: performance.now()});
 		},
 		dropStale,
 		takeBatch() {
@@ -65,7 +65,7 @@
 			let count = 0;
 			for (const {body} of messages) {
 				bytes += bulkSizes[body.case]?.(body) ?? 0;
-				if (count > 0 && bytes > options.mostBatchBytes) {
+				if (count > 0 && bytes > options.maxBatchBytes) {
 					break;
 				}
 
--- a/packages/router/src/lib/links/peer-client.ts
+++ b/packages/router/src/lib/links/peer-client.ts
@@ -1,4 +1,4 @@
-/** Opens streams to peers over HTTP/2 cleartext, each on a connection of its own. */
+/** Opens streams to peers over cleartext HTTP/2, each on its own connection. */
 import {createClient} from '@connectrpc/connect';
 import {createConnectTransport, Http2SessionManager} from '@connectrpc/connect-node';
 import {type Batch, PeerService} from '../../gen/hickorywalk/v1/peer_pb.js';
@@ -11,19 +11,19 @@
 	/** Name of this daemon. */
 	name: string;
 	secret: string;
-	/** What this daemon sends. */
+	/** Outgoing batches. */
 	batches: AsyncIterable<Batch>;
 };
 
-/** An open call. */
+/** A stream that this daemon opened. */
 export type DialledStream = {
-	/** What the peer sends; throws when the connection breaks. */
+	/** Incoming batches; iteration throws when the connection breaks. */
 	batches: AsyncIterable<Batch>;
-	/** Destroys the connection; the next dial takes a new one. */
+	/** Destroys the connection; the next dial opens a new one. */
 	destroy: () => void;
 };
 
-/** Opens a stream. It fails while its batches are read, never here. */
+/** Opens a stream. Never throws: errors surface while its batches are read. */
 export function dialPeer(options: DialOptions): DialledStream {
 	const baseUrl = `http://${options.address}`;
 	const sessionManager = new Http2SessionManager(baseUrl);
--- a/packages/router/src/lib/links/peer-network.ts
+++ b/packages/router/src/lib/links/peer-network.ts
@@ -1,7 +1,7 @@
 /**
- * The links of one daemon. A link to a peer is opened when there is something
- * to say, carries one batch per tick, and is closed when it idles, so that a
- * daemon holds links only to those that its parts really talk to.
+ * The links of one daemon. A link is opened when there is a message for the peer,
+ * carries one batch per tick, and is closed when idle, so that a daemon keeps
+ * links only to peers that its modules communicate with.
  */
 import {type Batch} from '../../gen/hickorywalk/v1/peer_pb.js';
 import {createBatchSource} from './batch-source.js';
@@ -12,7 +12,7 @@
 import {type AcceptedStream, createPeerServer} from './peer-server.js';
 import {createPeerStream, type PeerStream, type PeerStreamOptions} from './peer-stream.js';
 
-/** Where a daemon is reached. */
+/** Name and address of a daemon. */
 export type PeerAddress = {
 	name: string;
 	/** Such as `10.0.0.5:7100`. */
@@ -23,35 +23,35 @@
 export type PeerNetworkOptions = {
 	/** Name of this daemon. */
 	name: string;
-	/** Process of this daemon; grows with each start. */
+	/** Incarnation number of this process; grows with each start. */
 	incarnation: bigint;
-	/** Secret that all daemons of the fleet share. */
+	/** Shared secret of the fleet. */
 	secret: string;
 	/** Milliseconds between batches of one link; 100 by default. */
 	tickMs?: number;
-	/** Milliseconds after which an empty batch keeps a link heard; 1,000 by default. */
+	/** Milliseconds without an outgoing batch after which an empty one is sent as a ping; 1,000 by default. */
 	pingMs?: number;
-	/** Milliseconds without a batch after which a connection is destroyed; 3,500 by default. */
+	/** Milliseconds without an incoming batch after which a connection is destroyed; 3,500 by default. */
 	silenceMs?: number;
 	/** Milliseconds without a message after which a link is closed; 60,000 by default. */
 	idleMs?: number;
-	/** Longest pause between two dials, in milliseconds; the first is `tickMs`. 5,000 by default. */
+	/** Longest backoff between two dials, in milliseconds; the first is `tickMs`. 5,000 by default. */
 	longestBackoffMs?: number;
-	/** Most messages that wait for one peer; 1,000 by default. */
-	mostMessages?: number;
-	/** Milliseconds after which a message that could not be sent is dropped; 1,000 by default. */
+	/** Maximum number of messages queued for one peer; 1,000 by default. */
+	maxMessages?: number;
+	/** Milliseconds after which a queued message is dropped, except bulk content; 1,000 by default. */
 	staleMs?: number;
-	/** Most bytes of bulk content in a batch; 512 KiB by default. */
-	mostBatchBytes?: number;
-	/** Between 0 and 1, to spread dials; `Math.random` by default. */
+	/** Maximum bytes of bulk content in a batch; 512 KiB by default. */
+	maxBatchBytes?: number;
+	/** Returns a number between 0 and 1 for the jitter of dials; `Math.random` by default. */
 	random?: () => number;
 };
 
-/** What a link has done, for metrics. */
+/** State and counters of a link, for metrics. */
 export type LinkStats = {
 	name: string;
 	connected: boolean;
-	/** Milliseconds since the peer was last heard on it; `Infinity` when not connected. */
+	/** Milliseconds since the last batch from the peer; `Infinity` when not connected. */
 	silentMs: number;
 	waiting: number;
 	dropped: number;
@@ -62,13 +62,13 @@
 /** The links of one daemon. */
 export type PeerNetwork = {
 	send: SendToPeer;
-	/** Adds a part's handlers. */
+	/** Adds a module's handlers. */
 	handle: (handlers: PeerHandlers) => void;
-	/** Replaces the addresses that are known; links to others are closed. */
+	/** Replaces the known addresses; links to other peers are closed. */
 	setPeers: (peers: Iterable<PeerAddress>) => void;
 	/** Opens the port for peers and resolves to it. Throws `PeerListenError`. */
 	listen: (address: {host: string; port: number}) => Promise<number>;
-	/** Sends what waits where it can, and closes all links. */
+	/** Sends queued messages where possible, and closes all links. */
 	close: () => Promise<void>;
 	stats: () => LinkStats[];
 };
@@ -77,17 +77,17 @@
 	name: string;
 	queue: MessageQueue;
 	streams: PeerStream[];
-	/** The highest process of the peer that was heard. */
+	/** The highest incarnation number received from the peer. */
 	incarnation: bigint;
 	nextDialAt: number;
 	failures: number;
 	dials: number;
 	usedAt: number;
-	gapsBefore: number;
+	endedStreamGaps: number;
 };
 
 const defaults = {
-	tickMs: 100, staleMs: 1000, pingMs: 1000, silenceMs: 3500, idleMs: 60_000, longestBackoffMs: 5000, mostMessages: 1000, mostBatchBytes: 512 * 1024, random: Math.random,
+	tickMs: 100, staleMs: 1000, pingMs: 1000, silenceMs: 3500, idleMs: 60_000, longestBackoffMs: 5000, maxMessages: 1000, maxBatchBytes: 512 * 1024, random: Math.random,
 };
 
 /**
@@ -113,7 +113,7 @@
 		let link = links.get(name);
 		if (link === undefined) {
 			link = {
-				name, queue: createMessageQueue(settings), streams: [], incarnation: 0n, nextDialAt: 0, failures: 0, dials: 0, usedAt: performance.now(), gapsBefore: 0,
+				name, queue: createMessageQueue(settings), streams: [], incarnation: 0n, nextDialAt: 0, failures: 0, dials: 0, usedAt: performance.now(), endedStreamGaps: 0,
 			};
 			links.set(name, link);
 		}
@@ -132,14 +132,14 @@
 			},
 			onEnd() {
 				link.streams = link.streams.filter(other => other !== stream);
-				link.gapsBefore += stream.gaps();
+				link.endedStreamGaps += stream.gaps();
 				if (connection.dialled) {
 					backOff(link);
 				}
 			},
 		});
 		link.streams.push(stream);
-		// The first ping opens the stream on both ends at once.
+		// Sends the first ping at once, which opens the stream on both ends.
 		stream.check();
 		return stream;
 	}
@@ -162,7 +162,7 @@
 		void stream.run(batches);
 	}
 
-	/** The pause grows while dials fail, and varies so that a peer's return is no rush. */
+	/** Exponential backoff with jitter, so that not all daemons dial a returning peer at once. */
 	function backOff(link: Link): void {
 		const pause = Math.min(settings.longestBackoffMs, settings.tickMs * (2 ** link.failures));
 		link.failures++;
@@ -171,7 +171,7 @@
 
 	function takeBatch(link: Link, batch: Batch): void {
 		link.failures = 0;
-		// What an older process of the peer still had on the way must not pass for news.
+		// Batches that an older process of the peer still had in flight must not be taken as current.
 		if (batch.from !== link.name || batch.incarnation < link.incarnation) {
 			return;
 		}
@@ -196,7 +196,7 @@
 				stream.check();
 			}
 
-			closeSurplus(link);
+			closeRedundantStreams(link);
 			flush(link);
 			if (link.streams.length === 0 && link.queue.size() === 0 && !addresses.has(link.name)) {
 				links.delete(link.name);
@@ -219,18 +219,18 @@
 			return;
 		}
 
-		// The stream that spoke last is the most likely to be alive.
+		// The stream that received a batch most recently is the most likely to be alive.
 		const [stream] = link.streams
 			.filter(one => one.canSend())
 			.toSorted((a, b) => a.silentMs() - b.silentMs());
 		stream?.send(link.queue.takeBatch());
 	}
 
-	/** Two daemons may dial each other at once; of two streams the one of the later name goes. Idle ones go too. */
-	function closeSurplus(link: Link): void {
-		const doubled = link.streams.length > 1 && self.name > link.name;
+	/** Ends idle streams, and duplicates of two daemons that dialled each other: of two streams, the one that the daemon with the greater name dialled is ended. */
+	function closeRedundantStreams(link: Link): void {
+		const isDuplicate = link.streams.length > 1 && self.name > link.name;
 		const idle = performance.now() - link.usedAt > settings.idleMs;
-		if (!doubled && !idle) {
+		if (!isDuplicate && !idle) {
 			return;
 		}
 
@@ -277,7 +277,7 @@
 				}
 			}
 
-			// Streams end by themselves once the peer has read; one tick is enough for a live peer.
+			// Streams end once the peer has read everything; one tick is enough for a live peer.
 			await new Promise<void>(resolve => {
 				setTimeout(resolve, settings.tickMs);
 			});
@@ -295,7 +295,7 @@
 			silentMs: Math.min(Infinity, ...link.streams.map(stream => stream.silentMs())),
 			waiting: link.queue.size(),
 			dropped: link.queue.dropped(),
-			gaps: link.gapsBefore + link.streams.reduce((sum, stream) => sum + stream.gaps(), 0),
+			gaps: link.endedStreamGaps + link.streams.reduce((sum, stream) => sum + stream.gaps(), 0),
 			dials: link.dials,
 		})),
 	};
--- a/packages/router/src/lib/links/peer-server.ts
+++ b/packages/router/src/lib/links/peer-server.ts
@@ -1,4 +1,4 @@
-/** Serves streams that peers open, over HTTP/2 cleartext. */
+/** Accepts streams from peers over cleartext HTTP/2. */
 import {createServer, Http2ServerRequest, type Http2Session} from 'node:http2';
 import {once} from 'node:events';
 import {
@@ -11,24 +11,24 @@
 	isSameSecret, nameHeader, readMaxBytes, secretHeader,
 } from './protocol.js';
 
-/** A stream that a peer has opened. */
+/** A stream that a peer opened. */
 export type AcceptedStream = {
-	/** Name that the peer gave. */
+	/** Name of the peer, as it sent it. */
 	name: string;
-	/** What the peer sends. */
+	/** Incoming batches. */
 	batches: AsyncIterable<Batch>;
-	/** Destroys the connection, with all that shares it. */
+	/** Destroys the connection and all streams on it. */
 	destroy: () => void;
 };
 
 /** Options of {@link createPeerServer}. */
 export type PeerServerOptions = {
 	secret: string;
-	/** Takes a stream and gives what goes back on it. */
+	/** Accepts a stream and returns the outgoing batches. */
 	accept: (stream: AcceptedStream) => AsyncIterable<Batch>;
 };
 
-/** The port for peers. */
+/** The server for peers. */
 export type PeerServer = {
 	/** Resolves to the port. Throws {@link PeerListenError}. */
 	listen: (address: {host: string; port: number}) => Promise<number>;
@@ -37,12 +37,12 @@
 
 const sessionKey = createContextKey<Http2Session | undefined>(undefined);
 
-/** Creates the server; it listens when asked. */
+/** Creates the server; call `listen` to open the port. */
 export function createPeerServer(options: PeerServerOptions): PeerServer {
 	const sessions = new Set<Http2Session>();
 	const routes = (router: ConnectRouter) => {
 		router.service(PeerService, {
-			// Checked on each call: a connection alone proves nothing.
+			// Checked on each call, since an open connection is not authenticated.
 			exchange(batches, context) {
 				if (!isSameSecret(context.requestHeader.get(secretHeader) ?? '', options.secret)) {
 					throw new ConnectError('Wrong fleet secret.', Code.Unauthenticated);
--- a/packages/router/src/lib/links/peer-stream.ts
+++ b/packages/router/src/lib/links/peer-stream.ts
@@ -1,7 +1,7 @@
 /**
- * One stream between two daemons, the same on both ends once it is open. It
- * numbers batches, counts gaps, and destroys its connection when the peer has
- * been silent for too long.
+ * One stream between two daemons, symmetric once it is open. It numbers batches,
+ * counts missing ones, and destroys its connection after `silenceMs` without a
+ * batch from the peer.
  */
 import {create} from '@bufbuild/protobuf';
 import {type Batch, BatchSchema, PeerMessageSchema} from '../../gen/hickorywalk/v1/peer_pb.js';
@@ -17,38 +17,38 @@
 	dialled: boolean;
 	/** Destroys the connection that carries the stream. */
 	destroy: () => void;
-	/** Milliseconds without a batch from the peer after which the connection counts as dead. */
+	/** Milliseconds without a batch from the peer after which the connection is considered dead. */
 	silenceMs: number;
-	/** Milliseconds after which an empty batch is sent when there is nothing to say. */
+	/** Milliseconds without an outgoing batch after which an empty one is sent. */
 	pingMs: number;
-	/** Hears each batch. */
+	/** Called for each batch. */
 	onBatch: (batch: Batch) => void;
-	/** Told once when the stream has ended, whoever ended it. */
+	/** Called once when the stream has ended, on either side. */
 	onEnd: () => void;
 };
 
 /** One stream between two daemons. */
 export type PeerStream = {
 	dialled: boolean;
-	/** Whether the peer has answered and the transport keeps up; until then messages wait in their queue. */
+	/** Whether the peer has answered and the transport keeps up; otherwise messages stay in their queue. */
 	canSend: () => boolean;
 	send: (bodies: readonly PeerBody[]) => void;
-	/** Looks at the clock: sends a ping or gives the stream up when it is due. */
+	/** Sends a ping when one is due, or destroys the connection when the peer was silent for too long. */
 	check: () => void;
-	/** Takes batches until the peer ends the stream or the connection breaks. */
+	/** Receives batches until the peer ends the stream or the connection breaks; never rejects. */
 	run: (batches: AsyncIterable<Batch>) => Promise<void>;
-	/** Ends this daemon's side after what was sent. */
+	/** Ends the outgoing side after the queued batches. */
 	end: () => void;
 	/** Destroys the connection at once. */
 	abandon: () => void;
-	/** Milliseconds since the peer was last heard. */
+	/** Milliseconds since the last batch from the peer. */
 	silentMs: () => number;
-	/** Batches that were missing by their numbers. */
+	/** Number of batches missing from the sequence. */
 	gaps: () => number;
 };
 
-/** Batches that may wait for the transport; more would only grow old there. */
-const mostWaitingBatches = 2;
+/** Maximum number of batches queued for the transport; more would only become stale there. */
+const maxWaitingBatches = 2;
 
 /** Creates the state of an open stream. */
 export function createPeerStream(options: PeerStreamOptions): PeerStream {
@@ -56,9 +56,9 @@
 	let sequence = 0n;
 	let lastReceived = 0n;
 	let gaps = 0;
-	let heardAt = performance.now();
+	let lastReceivedAt = performance.now();
 	let sentAt = -Infinity;
-	let heard = false;
+	let hasReceived = false;
 	let ended = false;
 	let ending = false;
 
@@ -78,8 +78,8 @@
 	}
 
 	function receive(batch: Batch): void {
-		heard = true;
-		heardAt = performance.now();
+		hasReceived = true;
+		lastReceivedAt = performance.now();
 		if (batch.sequence > lastReceived + 1n) {
 			gaps += Number(batch.sequence - lastReceived - 1n);
 		}
@@ -101,14 +101,14 @@
 
 	return {
 		dialled: options.dialled,
-		canSend: () => heard && !ended && !ending && source.waiting() < mostWaitingBatches,
+		canSend: () => hasReceived && !ended && !ending && source.waiting() < maxWaitingBatches,
 		send,
 		check() {
 			const now = performance.now();
-			// Something between the two ends may have forgotten the connection: no
-			// error ever comes, and writes seem to work. Only silence tells, since
-			// a live peer sends a ping at least every pingMs.
-			if (now - heardAt > options.silenceMs) {
+			// A middlebox may have lost track of the connection: no error is reported
+			// and writes seem to succeed. Only silence reveals it, since a live peer
+			// sends at least a ping every pingMs.
+			if (now - lastReceivedAt > options.silenceMs) {
 				abandon();
 				return;
 			}
@@ -127,12 +127,12 @@
 					receive(batch);
 				}
 
-				// A stream that ended well leaves its connection to whoever opened it.
+				// After a normal end, the side that dialled closes the connection.
 				if (options.dialled) {
 					options.destroy();
 				}
 			} catch {
-				// A broken stream is no fault of this daemon; the link dials again.
+				// A broken connection is not an error of this daemon; the link dials again.
 				options.destroy();
 			} finally {
 				finish();
@@ -143,7 +143,7 @@
 			source.end();
 		},
 		abandon,
-		silentMs: () => performance.now() - heardAt,
+		silentMs: () => performance.now() - lastReceivedAt,
 		gaps: () => gaps,
 	};
 }
--- a/packages/router/src/lib/links/protocol.ts
+++ b/packages/router/src/lib/links/protocol.ts
@@ -1,18 +1,18 @@
-/** What both ends of a link agree on besides the messages. */
+/** Headers and limits shared by both ends of a link. */
 import {createHash, timingSafeEqual} from 'node:crypto';
 
-/** Header with the secret that all daemons of a fleet share. */
+/** Header with the shared secret of the fleet. */
 export const secretHeader = 'hickorywalk-fleet-secret';
 
 /** Header with the name of the daemon that dials. */
 export const nameHeader = 'hickorywalk-daemon';
 
-/** Largest batch that is read, in bytes; a part of a snapshot is far smaller. */
+/** Largest accepted batch, in bytes; a part of a snapshot is far smaller. */
 export const readMaxBytes = 16 * 1024 * 1024;
 
 /**
- * Compares secrets in constant time. Digests have one length, so that the
- * length of the secret does not show either.
+ * Compares secrets in constant time. It compares digests, which have equal
+ * length, so that the length of the secret does not leak either.
  */
 export function isSameSecret(given: string, expected: string): boolean {
 	return timingSafeEqual(digestOf(given), digestOf(expected));
--- a/packages/router/src/lib/platform/http-platform.ts
+++ b/packages/router/src/lib/platform/http-platform.ts
@@ -1,5 +1,5 @@
 /**
- * The platform over HTTP, in the format that docs/platform-api.md publishes.
+ * HTTP client of the platform, in the format that docs/platform-api.md specifies.
  */
 import {Buffer} from 'node:buffer';
 import {Agent, request} from 'undici';
@@ -37,9 +37,9 @@
 
 /** Options of {@link createHttpPlatform}. */
 export type HttpPlatformOptions = {
-	/** Where the service listens, such as `http://10.0.0.5:7000`. */
+	/** URL of the service, such as `http://10.0.0.5:7000`. */
 	baseUrl: string;
-	/** Milliseconds before a call without an answer is given up; 2,000 by default. */
+	/** Timeout of a call in milliseconds; 2,000 by default. */
 	timeoutMs?: number;
 };
 
@@ -49,7 +49,7 @@
 	query?: Record<string, string>;
 	headers?: Record<string, string>;
 	body?: string | Uint8Array;
-	/** Whether the call may change something: its lost answer says nothing. */
+	/** Whether the call may write; when its answer is lost, the write may still have been applied. */
 	writes: boolean;
 };
 
@@ -93,9 +93,9 @@
 			});
 			answer = {status: res.statusCode, body: Buffer.from(await res.body.arrayBuffer())};
 		} catch (error) {
-			// The write may have taken effect before its answer was lost.
+			// A write may have been applied before its answer was lost.
 			throw new PlatformUnavailableError(
-				`The platform gave no answer to ${call.method} ${call.path}. Read back before acting on a write.`,
+				`The platform did not answer ${call.method} ${call.path}. Read back before acting on a write.`,
 				call.writes,
 				{cause: error},
 			);
@@ -134,7 +134,7 @@
 	try {
 		return schema.parse(JSON.parse(Buffer.from(answer.body).toString('utf8')));
 	} catch (error) {
-		throw new PlatformProtocolError('The platform answered outside its format.', {cause: error});
+		throw new PlatformProtocolError('The platform\'s answer does not match its published format.', {cause: error});
 	}
 }
 
--- a/packages/router/src/lib/platform/platform-errors.ts
+++ b/packages/router/src/lib/platform/platform-errors.ts
@@ -2,8 +2,9 @@
 import {LayerError} from '../errors/layer-error.js';
 
 /**
- * The service gave no usable answer. `maybeApplied` is true when a write may
- * have taken effect all the same: the caller must read back before it acts.
+ * The service did not answer, or answered with a server error. `maybeApplied` is
+ * true when a write may still have been applied: the caller must read back before
+ * it acts.
  */
 export class PlatformUnavailableError extends LayerError {
 	readonly code = 'platform_unavailable';
@@ -13,12 +14,12 @@
 	}
 }
 
-/** The service answered with something that its contract does not allow. */
+/** The answer of the service violates its contract. */
 export class PlatformProtocolError extends LayerError {
 	readonly code = 'platform_protocol';
 }
 
-/** The call itself is wrong: an empty key, a transaction without writes. */
+/** The call itself is invalid, such as an empty key or a transaction without writes. */
 export class PlatformRequestError extends LayerError {
 	readonly code = 'platform_request';
 }
--- a/packages/router/src/lib/platform/platform.ts
+++ b/packages/router/src/lib/platform/platform.ts
@@ -1,16 +1,17 @@
 /**
- * What the platform gives: a transactional table, an object store, a weight
- * store and a lagging list of VMs. The library knows only these interfaces;
- * `http-platform.ts` speaks to the service, and tests pass small fakes.
+ * Interfaces of the platform: a transactional table, an object store, a weight
+ * store and a list of VMs that lags behind the actual state. The library depends
+ * only on these interfaces; `http-platform.ts` implements them, and tests use
+ * fakes.
  */
 
 /** One row of the table service. */
 export type TableRow = {
-	/** At most 512 characters; rows are listed in the order of their keys. */
+	/** At most 512 characters; rows are listed in key order. */
 	key: string;
-	/** At most 64 KiB of text, JSON by custom. */
+	/** At most 64 KiB of text, JSON by convention. */
 	value: string;
-	/** Grows with every write of this key; it does not start again after a delete. */
+	/** Grows with every write of this key, and is not reset by a delete. */
 	version: number;
 };
 
@@ -19,16 +20,16 @@
 	key: string;
 	/** The new value; `null` deletes the row. */
 	value: string | null;
-	/** Commit only if the row has this version; 0 means that it must be absent. */
+	/** Commits only if the row has this version; 0 means that it must be absent. */
 	ifVersion?: number;
 };
 
-/** What a transaction did. Either all its writes took effect or none. */
+/** Result of a transaction. Either all its writes were applied or none. */
 export type TransactionResult
 	= | {committed: true; versions: Record<string, number>}
 		| {committed: false; conflicts: Array<{key: string; version: number}>};
 
-/** Which rows to list. */
+/** The rows to list. */
 export type TableRange = {
 	/** Only keys that start with this. */
 	prefix: string;
@@ -38,7 +39,7 @@
 	limit?: number;
 };
 
-/** The table service. Every method throws `PlatformUnavailableError`. */
+/** The table service. Every method may reject with `PlatformUnavailableError`. */
 export type TableClient = {
 	get: (key: string) => Promise<TableRow | undefined>;
 	list: (range: TableRange) => Promise<TableRow[]>;
@@ -46,9 +47,9 @@
 	transact: (writes: TableWrite[]) => Promise<TransactionResult>;
 };
 
-/** The object store. Every method throws `PlatformUnavailableError`. */
+/** The object store. Every method may reject with `PlatformUnavailableError`. */
 export type ObjectClient = {
-	/** Resolves to false when `ifAbsent` was asked and the object stands already. */
+	/** Resolves to false when `ifAbsent` is set and the object already exists. */
 	put: (name: string, content: Uint8Array, options?: {ifAbsent?: boolean}) => Promise<boolean>;
 	get: (name: string) => Promise<Uint8Array | undefined>;
 	list: (prefix: string) => Promise<string[]>;
@@ -68,10 +69,10 @@
 	list: () => Promise<WeightInfo[]>;
 };
 
-/** One VM in the platform's list, which lags behind what is. */
+/** One VM in the platform's list, which lags behind the actual state. */
 export type VmEntry = {
 	name: string;
-	/** What runs on it: this project's daemon, or an endpoint. */
+	/** `entry` runs this project's daemon, `endpoint` an endpoint. */
 	role: 'entry' | 'endpoint';
 	dataCentre: string;
 	address: string;
--- a/packages/router/src/lib/recovery/recovery-part.ts
+++ b/packages/router/src/lib/recovery/recovery-part.ts
@@ -1,4 +1,4 @@
-/** The parts of a daemon's knowledge that survive its restart in others. */
+/** Parts of a daemon's state that it recovers from peers or snapshots after a restart. */
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 import {create} from '@bufbuild/protobuf';
@@ -7,27 +7,27 @@
 import {type ConfigurationFollower} from '../configuration/configuration-follower.js';
 import {applyDelta, emptySectionSet, wholeDelta} from '../configuration/section-set.js';
 
-/** One part of what a daemon knows, owned by the component that made it. */
+/** One part of a daemon's state, owned by the component that creates it. */
 export type RecoveryPart = {
 	/** Such as `configuration` or `routing`. */
 	name: string;
-	/** The part in an encoding of its owner; `undefined` while there is nothing worth passing on. */
+	/** The part in its owner's encoding; `undefined` while there is nothing to share. */
 	exportContent: () => Uint8Array | undefined;
-	/** Whether the daemon has it already, by another way than recovery; then it is not waited for. */
+	/** Whether the daemon already has the part from elsewhere than recovery; then recovery does not wait for it. */
 	isKnown?: () => boolean;
-	/** Takes the part in; it throws when it can't, and then another source is asked. */
+	/** Imports the part. When it throws, another source is tried. */
 	importContent: (content: Uint8Array) => void;
 };
 
-/** Wraps a content with its checksum. */
-export function sealPart(requestId: string, name: string, content: Uint8Array): SnapshotPart {
+/** Creates a part with the checksum of its content. */
+export function createSnapshotPart(requestId: string, name: string, content: Uint8Array): SnapshotPart {
 	return create(SnapshotPartSchema, {
 		requestId, name, content, checksum: checksumOf(content),
 	});
 }
 
-/** Whether the content is what was sealed. */
-export function isSound(part: SnapshotPart): boolean {
+/** Whether the content matches its checksum. */
+export function hasValidChecksum(part: SnapshotPart): boolean {
 	return Buffer.compare(part.checksum, checksumOf(part.content)) === 0;
 }
 
@@ -42,8 +42,8 @@
 });
 
 /**
- * The configuration as a part. It brings a version into force but never proves
- * that it is the newest: that comes from the table or from peers' heads.
+ * Creates the part of the configuration. Importing it activates a version but does
+ * not prove that it is the newest: only the table or the heads of peers do.
  */
 export function createConfigurationPart(follower: Pick<ConfigurationFollower, 'held' | 'adopt'>): RecoveryPart {
 	return {
--- a/packages/router/src/lib/recovery/recovery.ts
+++ b/packages/router/src/lib/recovery/recovery.ts
@@ -1,7 +1,8 @@
 /**
- * Brings a daemon that has just started to what its peers know: from them
- * at once, else from the snapshot in the object store. Until it can serve
- * truly it is unready; it never guesses.
+ * Recovers the state of a daemon that has just started: from its peers, or else
+ * from the snapshot in the object store. The daemon stays unready until it has
+ * what it needs to serve correctly; it never serves from state that may be
+ * outdated.
  */
 import {randomUUID} from 'node:crypto';
 import {create} from '@bufbuild/protobuf';
@@ -10,67 +11,67 @@
 import {type PeerHandlers, type SendToPeer} from '../links/peer-link.js';
 import {type ObjectClient} from '../platform/platform.js';
 import {pause} from '../time/pause.js';
-import {isSound, type RecoveryPart, sealPart} from './recovery-part.js';
+import {hasValidChecksum, type RecoveryPart, createSnapshotPart} from './recovery-part.js';
 import {createSnapshotStore} from './snapshot-store.js';
 
 /** Options of {@link createRecovery}. */
 export type RecoveryOptions = {
 	objects: ObjectClient;
 	send: SendToPeer;
-	/** Live peers, nearest first, and this daemon's place among those of its data centre, as membership gives them. */
+	/** Live peers, nearest first, and this daemon's rank among the daemons of its data centre, from membership. */
 	peers: () => {nearby: readonly string[]; distant: readonly string[]; rank: number};
 	parts: RecoveryPart[];
-	/** Whether this daemon may serve truly: the follower's `mayServe`, and what else must hold. */
+	/** Whether this daemon may serve: the configuration follower's `mayServe`, and any further conditions. */
 	canServe: () => boolean;
-	/** Whether writing snapshots is this daemon's duty now. */
+	/** Whether this daemon currently has the duty of writing snapshots. */
 	holdsDuty: () => boolean;
 	/** Milliseconds between snapshots; 60,000 by default. */
 	snapshotMs?: number;
-	/** Milliseconds that a peer has for its answer; 1,000 by default. */
+	/** Milliseconds to wait for the answer of a peer; 1,000 by default. */
 	answerMs?: number;
-	/** Milliseconds between two looks at what is missing; 100 by default. */
+	/** Milliseconds between checks for missing parts; 100 by default. */
 	checkMs?: number;
-	/** Milliseconds after which a daemon that can serve truly goes ready though some part is missing, because no source has it; 5,000 by default. */
+	/** Milliseconds after which a daemon that can serve becomes ready even if a part is missing, as no source may have it; 5,000 by default. */
 	longestWarmUpMs?: number;
-	/** Milliseconds that a daemon at least waits for peers to be heard of while some part is missing; 1,000 by default. */
+	/** Minimum milliseconds that a daemon with missing parts waits for peers to be discovered; 1,000 by default. */
 	fewestWarmUpMs?: number;
-	/** Told of what could not be read, imported or written. */
+	/** Called with errors of reading, importing or writing parts. */
 	onFault?: (error: unknown) => void;
 	/** Makes request ids; random by default. */
 	createId?: () => string;
 };
 
-/** What a start took. */
+/** Duration and sources of a recovery. */
 export type RecoveryReport = {
-	/** Milliseconds from the call to ready. */
+	/** Milliseconds from the call of `recover` until ready. */
 	timeToServeMs: number;
-	/** Where each part came from; absent are those that were known by another way, or found nowhere. */
+	/** Source of each recovered part; parts that were already known or not found are absent. */
 	sources: Map<string, 'peer' | 'store'>;
 };
 
-/** Recovery of one daemon, and what it does for others. */
+/** Recovery of one daemon, and its answers and snapshots for others. */
 export type Recovery = {
-	/** Resolves when the daemon may report ready; rejects only when stopped. */
+	/** Resolves when the daemon may report ready; rejects with `RecoveryStoppedError` when stopped. */
 	recover: () => Promise<RecoveryReport>;
-	/** For the balancer: recovered, and able to serve truly now. */
+	/** Whether the daemon has recovered and can serve now, for the load balancer. */
 	isReady: () => boolean;
 	handlers: PeerHandlers;
-	/** Starts to write snapshots while it is this daemon's duty. */
+	/** Starts to write snapshots periodically while this daemon has that duty. */
 	start: () => void;
-	/** Ends all; a recovery under way rejects. */
+	/** Stops writing snapshots; a running recovery rejects. */
 	stop: () => void;
 };
 
 const defaults = {
 	snapshotMs: 60_000, answerMs: 1000, checkMs: 100, longestWarmUpMs: 5000, fewestWarmUpMs: 1000, createId: randomUUID,
 };
-/** Milliseconds by which each pair of daemons of a data centre waits longer for the store, so that a herd asks its first two. */
+/** Milliseconds by which each pair of daemons of a data centre waits longer for the store, so that in a mass restart only the first two read it at once. */
 const storeStepMs = 500;
 const longestStoreWaitMs = 5000;
 const storeRetryMs = 2000;
 const daemonsPerStep = 2;
 
-/** Recovery was ended before the daemon became ready. */
+/** Recovery was stopped before the daemon became ready. */
 export class RecoveryStoppedError extends LayerError {
 	readonly code = 'recovery_stopped';
 }
@@ -89,8 +90,8 @@
 	const store = createSnapshotStore(options.objects);
 	const sources = new Map<string, 'peer' | 'store'>();
 	const asked = new Set<string>();
-	/** Peers that gave their whole answer. */
-	const heardOut = new Set<string>();
+	/** Peers whose answer is complete. */
+	const answeredPeers = new Set<string>();
 	let storeAnswered = false;
 	let request: {id: string; peer: string; sentAt: number} | undefined;
 	let recovered = false;
@@ -102,9 +103,9 @@
 		return parts.filter(part => !sources.has(part.name) && !part.isKnown?.());
 	}
 
-	function take(snapshotPart: SnapshotPart, source: 'peer' | 'store'): void {
+	function importPart(snapshotPart: SnapshotPart, source: 'peer' | 'store'): void {
 		const part = missing().find(({name}) => name === snapshotPart.name);
-		if (part === undefined || !isSound(snapshotPart)) {
+		if (part === undefined || !hasValidChecksum(snapshotPart)) {
 			return;
 		}
 
@@ -112,12 +113,12 @@
 			part.importContent(snapshotPart.content);
 			sources.set(part.name, source);
 		} catch (error) {
-			// Not understood or contradictory: another source may have a better one.
+			// The part is unreadable or inconsistent; another source may have a valid one.
 			options.onFault?.(error);
 		}
 	}
 
-	/** Asks the next peer, each once in a round; whoever has just started answers with nothing. */
+	/** Requests missing parts from the next peer, each once per round; a peer that has not recovered yet answers with none. */
 	function askPeer(): void {
 		if (request !== undefined && performance.now() - request.sentAt < settings.answerMs) {
 			return;
@@ -148,7 +149,7 @@
 		nextStoreAt = performance.now() + storeRetryMs;
 		try {
 			for (const part of await store.read(missing().map(part => part.name))) {
-				take(part, 'store');
+				importPart(part, 'store');
 			}
 
 			storeAnswered = true;
@@ -158,12 +159,12 @@
 	}
 
 	/**
-	 * Whether every source has said what it has. The first daemon of a fleet
-	 * would else wait for what nobody knows.
+	 * Whether the store and all peers have answered. Without this check, the first
+	 * daemon of a fleet would wait for parts that no source has.
 	 */
-	function isNothingLeft(): boolean {
+	function haveAllSourcesAnswered(): boolean {
 		const {nearby, distant} = options.peers();
-		return storeAnswered && [...nearby, ...distant].every(name => heardOut.has(name));
+		return storeAnswered && [...nearby, ...distant].every(name => answeredPeers.has(name));
 	}
 
 	function answer(to: string, requestId: string, names: readonly string[]): void {
@@ -181,12 +182,12 @@
 	function exportParts(requestId: string, names: readonly string[]): SnapshotPart[] {
 		return parts.filter(part => names.includes(part.name)).flatMap(part => {
 			const content = part.exportContent();
-			return content === undefined ? [] : [sealPart(requestId, part.name, content)];
+			return content === undefined ? [] : [createSnapshotPart(requestId, part.name, content)];
 		});
 	}
 
 	async function writeSnapshot(): Promise<void> {
-		// Only whoever is ready knows enough; an empty snapshot would push out a good one.
+		// Only a ready daemon has complete state; an empty snapshot would displace a good one.
 		if (!isReady() || !options.holdsDuty()) {
 			return;
 		}
@@ -202,7 +203,7 @@
 		return recovered && options.canServe();
 	}
 
-	function refuseWhenStopped(): void {
+	function throwIfStopped(): void {
 		if (stopped) {
 			throw new RecoveryStoppedError('The daemon was stopped before it could serve.');
 		}
@@ -212,10 +213,10 @@
 		const startedAt = performance.now();
 		nextStoreAt = startedAt + Math.min(longestStoreWaitMs, Math.floor(options.peers().rank / daemonsPerStep) * storeStepMs);
 		for (;;) {
-			refuseWhenStopped();
+			throwIfStopped();
 			const waitedMs = performance.now() - startedAt;
 			const isWarm = missing().length === 0 || waitedMs >= settings.longestWarmUpMs
-				|| (waitedMs >= settings.fewestWarmUpMs && isNothingLeft());
+				|| (waitedMs >= settings.fewestWarmUpMs && haveAllSourcesAnswered());
 			if (isWarm && options.canServe()) {
 				recovered = true;
 				return {timeToServeMs: waitedMs, sources};
@@ -243,11 +244,11 @@
 				}
 
 				if (part.name !== '') {
-					take(part, 'peer');
+					importPart(part, 'peer');
 				}
 
 				if (part.last) {
-					heardOut.add(origin.name);
+					answeredPeers.add(origin.name);
 					request = undefined;
 				}
 			},
--- a/packages/router/src/lib/rollouts/engine-control.ts
+++ b/packages/router/src/lib/rollouts/engine-control.ts
@@ -1,22 +1,22 @@
-/** How rollouts speak to engines. */
+/** The interface between rollouts and engines. */
 
-/** What an engine says of its weights. */
+/** Weights status of an engine. */
 export type EngineWeights = {
-	/** Version that is loaded, or that was before a load under way. */
+	/** Loaded version; while another one is loading, the version before it. */
 	version: string;
-	/** Whether it loads weights now and takes no requests. */
+	/** Whether the engine is loading weights and takes no requests. */
 	loading: boolean;
 };
 
-/** An order to load weights. Obeying it twice does what obeying it once does. */
+/** An idempotent order to load weights. */
 export type LoadOrder = {
-	/** Fencing number of the lease under which it was given. */
+	/** Fencing number of the lease under which the order is sent. */
 	fencing: number;
 	model: string;
 	version: string;
 };
 
-/** Asks and orders engines by their address. Both reject when no answer came. */
+/** Reads the weights status of engines and sends them orders, by address. Both methods reject when there is no answer. */
 export type EngineControl = {
 	weights: (address: string) => Promise<EngineWeights>;
 	order: (address: string, order: LoadOrder) => Promise<void>;
--- a/packages/router/src/lib/rollouts/http-engine-control.ts
+++ b/packages/router/src/lib/rollouts/http-engine-control.ts
@@ -1,4 +1,4 @@
-/** Speaks to engines over HTTP for rollouts; docs/engine-api.md has the format. */
+/** HTTP implementation of `EngineControl`; docs/engine-api.md specifies the format. */
 import {Agent, request} from 'undici';
 import {EndpointRefusedError} from '../endpoints/endpoint-errors.js';
 import {type EngineProbe} from '../endpoints/engine-probe.js';
@@ -7,7 +7,7 @@
 const statusOk = 200;
 const statusAccepted = 202;
 
-/** Creates the control; each order takes a new connection, since an old one may be silent. */
+/** Creates the client. Each order opens a new connection, since a reused one may be dead without an error. */
 export function createHttpEngineControl(options: {probe: EngineProbe['probe']; timeoutMs: number}): EngineControl & {close: () => Promise<void>} {
 	const agent = new Agent({pipelining: 0, connect: {timeout: options.timeoutMs}});
 	return {
--- a/packages/router/src/lib/rollouts/rollout-plan.ts
+++ b/packages/router/src/lib/rollouts/rollout-plan.ts
@@ -1,10 +1,10 @@
-/** Decides the next steps of a rollout from what is seen; pure of time and I/O. */
+/** Plans the next steps of a rollout from the observed endpoints. Pure functions without clock or I/O. */
 import {type EngineWeights} from './engine-control.js';
 import {type RolloutRecord} from './rollout-record.js';
 
-/** What is known of a service's endpoints. */
+/** Observed endpoints of a service, and the limits of its rollout. */
 export type RolloutView = {
-	/** Endpoints in the order of the document; `undefined` for one that gave no answer. */
+	/** Weights by endpoint, in document order; `undefined` for an endpoint that did not answer. */
 	weights: ReadonlyMap<string, EngineWeights | undefined>;
 	minReady: number;
 	maxLoading: number;
@@ -16,18 +16,18 @@
 
 /** The next steps. */
 export type RolloutPlan = {
-	/** The record that these steps leave behind. */
+	/** The record after these steps. */
 	record: RolloutRecord;
-	/** Endpoints to be told to load, with the version; the record names them already. */
+	/** Endpoints to order to load a version; the record already includes these steps. */
 	orders: Array<{endpoint: string; version: string}>;
 };
 
 /**
- * A rollout turns back as long as no more endpoints run the new weights than
- * the old ones. Past that point going back would take longer and touch more
- * than what is left, so it halts, and an operator decides.
+ * A rollout may roll back as long as no more endpoints run the new weights than
+ * the old ones. Past that point a rollback would take longer and affect more
+ * endpoints than completing the rollout, so it halts for an operator to decide.
  */
-function mayTurnBack(record: RolloutRecord, view: RolloutView): boolean {
+function mayRollBack(record: RolloutRecord, view: RolloutView): boolean {
 	let moved = 0;
 	let old = 0;
 	for (const weights of view.weights.values()) {
@@ -38,8 +38,8 @@
 	return moved <= old;
 }
 
-/** Drops steps that are done, and those of endpoints that are gone. */
-function dropDone(record: RolloutRecord, view: RolloutView): RolloutRecord {
+/** Removes completed steps, and those of endpoints that no longer exist. */
+function dropCompletedSteps(record: RolloutRecord, view: RolloutView): RolloutRecord {
 	const steps: RolloutRecord['steps'] = {};
 	for (const [endpoint, step] of Object.entries(record.steps)) {
 		const weights = view.weights.get(endpoint);
@@ -52,7 +52,7 @@
 	return {...record, steps};
 }
 
-/** The first endpoint that did not load in time. */
+/** Returns the first endpoint whose load exceeded the timeout. */
 function findOverdue(record: RolloutRecord, view: RolloutView): string | undefined {
 	for (const [endpoint, step] of Object.entries(record.steps)) {
 		if (view.nowMs - step.orderedMs > view.loadTimeoutMs) {
@@ -65,14 +65,14 @@
 
 function afterFailure(record: RolloutRecord, view: RolloutView, endpoint: string): RolloutRecord {
 	const reason = `${endpoint} did not load ${record.steps[endpoint].version} within ${view.loadTimeoutMs} ms`;
-	const turnsBack = record.phase === 'forward' && record.previous !== '' && mayTurnBack(record, view);
+	const rollsBack = record.phase === 'forward' && record.previous !== '' && mayRollBack(record, view);
 	return {
-		...record, phase: turnsBack ? 'back' : 'halted', reason: record.reason === '' ? reason : record.reason, steps: {},
+		...record, phase: rollsBack ? 'back' : 'halted', reason: record.reason === '' ? reason : record.reason, steps: {},
 	};
 }
 
-/** Orders as many endpoints as the bounds on loading and on ready ones allow. */
-function orderMore(record: RolloutRecord, view: RolloutView): RolloutPlan {
+/** Plans orders for as many endpoints as `maxLoading` and `minReady` allow. */
+function planOrders(record: RolloutRecord, view: RolloutView): RolloutPlan {
 	const version = record.phase === 'forward' ? record.target : record.previous;
 	const steps = {...record.steps};
 	const orders: RolloutPlan['orders'] = [];
@@ -85,7 +85,7 @@
 	}
 
 	for (const [endpoint, weights] of view.weights) {
-		// An endpoint that is silent is not ordered: nobody knows what it runs.
+		// An endpoint that did not answer gets no order, since its version is unknown.
 		if (weights === undefined || weights.loading || weights.version === version || steps[endpoint] !== undefined) {
 			continue;
 		}
@@ -103,7 +103,7 @@
 	return {record: {...record, steps}, orders};
 }
 
-/** The most common version, which a rollout would go back to. */
+/** Returns the most common version other than `other`, as the target of a rollback. */
 function commonVersion(view: RolloutView, other: string): string {
 	const counts = new Map<string, number>();
 	for (const weights of view.weights.values()) {
@@ -120,16 +120,16 @@
 	return best;
 }
 
-/** Begins a rollout, or takes a new target up; orders that are out stay known. */
+/** Starts a rollout or changes its target; steps with pending orders are kept. */
 export function beginRollout(before: RolloutRecord | undefined, target: string, view: RolloutView): RolloutRecord {
 	return {
 		target, previous: commonVersion(view, target), phase: 'forward', reason: '', steps: before?.steps ?? {},
 	};
 }
 
-/** Plans the next steps of a rollout that has begun. */
+/** Plans the next steps of a started rollout. */
 export function planRollout(before: RolloutRecord, view: RolloutView): RolloutPlan {
-	let record = dropDone(before, view);
+	let record = dropCompletedSteps(before, view);
 	const overdue = findOverdue(record, view);
 	if (overdue !== undefined) {
 		record = afterFailure(record, view, overdue);
@@ -139,7 +139,7 @@
 		return {record, orders: []};
 	}
 
-	const plan = orderMore(record, view);
-	const isBackAgain = record.phase === 'back' && Object.keys(plan.record.steps).length === 0;
-	return isBackAgain ? {record: {...plan.record, phase: 'halted'}, orders: []} : plan;
+	const plan = planOrders(record, view);
+	const isRollbackComplete = record.phase === 'back' && Object.keys(plan.record.steps).length === 0;
+	return isRollbackComplete ? {record: {...plan.record, phase: 'halted'}, orders: []} : plan;
 }
--- a/packages/router/src/lib/rollouts/rollout-record.ts
+++ b/packages/router/src/lib/rollouts/rollout-record.ts
@@ -1,35 +1,35 @@
-/** The record of a rollout in the table: written before each act, so that a successor goes on from it. */
+/** The record of a rollout in the table. It is written before orders are sent, so that a new owner can continue from it. */
 import {z} from 'zod';
 import {type TableClient} from '../platform/platform.js';
 import {RolloutRecordError} from './rollout-errors.js';
 
 const stepSchema = z.strictObject({
-	/** Version that the endpoint was told to load. */
+	/** Version that the endpoint was ordered to load. */
 	version: z.string(),
-	/** Wall clock of the order, in milliseconds since 1970. */
+	/** Time of the order, in milliseconds since 1970. */
 	orderedMs: z.number(),
 });
 
 const recordSchema = z.strictObject({
-	/** Version that the document asks for. */
+	/** Version that the configuration document names. */
 	target: z.string(),
-	/** Version to go back to. */
+	/** Version that a rollback returns to. */
 	previous: z.string(),
 	/**
-	 * `forward`: endpoints go to the target; `back`: they return to the previous
-	 * version; `halted`: nothing moves until the document asks for another version.
+	 * `forward`: endpoints move to the target; `back`: they roll back to the previous
+	 * version; `halted`: no orders are sent until the document names another version.
 	 */
 	phase: z.enum(['forward', 'back', 'halted']),
-	/** Why it left `forward`. */
+	/** Why the rollout left phase `forward`. */
 	reason: z.string(),
-	/** Orders that were given and are not known to be done, by endpoint. */
+	/** Orders that are not known to be completed, by endpoint. */
 	steps: z.record(z.string(), stepSchema),
 });
 
 export type RolloutRecord = z.infer<typeof recordSchema>;
 export type RolloutStep = z.infer<typeof stepSchema>;
 
-/** A record as it stands in the table. */
+/** A record with its row version in the table; version 0 when there is none. */
 export type StoredRecord = {record: RolloutRecord | undefined; version: number};
 
 const keyOf = (service: string) => `rollout/${service}`;
@@ -49,15 +49,15 @@
 }
 
 /**
- * Writes the record on condition that nobody else did since it was read.
+ * Writes the record if its row has not changed since it was read.
  *
- * @throws {RolloutRecordError} when another daemon wrote: it owns the rollout now.
+ * @throws {RolloutRecordError} when another daemon wrote it and now owns the rollout.
  */
 export async function writeRecord(table: TableClient, service: string, stored: StoredRecord, record: RolloutRecord): Promise<StoredRecord> {
 	const key = keyOf(service);
 	const result = await table.transact([{key, value: JSON.stringify(record), ifVersion: stored.version}]);
 	if (!result.committed) {
-		throw new RolloutRecordError(`Another daemon moved the rollout of ${service} on.`);
+		throw new RolloutRecordError(`Another daemon updated the record of the rollout of ${service}.`);
 	}
 
 	return {record, version: result.versions[key]};
--- a/packages/router/src/lib/rollouts/rollout-runner.ts
+++ b/packages/router/src/lib/rollouts/rollout-runner.ts
@@ -1,7 +1,7 @@
 /**
- * Brings endpoints to the weights that the document asks for. One daemon owns
- * a service's rollout by lease; each step is written down before it is taken,
- * so a successor goes on from there.
+ * Rolls out the weights version that the document names. One daemon owns a
+ * service's rollout by lease. Each step is recorded before it is taken, so that
+ * a new owner can continue from the record.
  */
 import {type Endpoint, type ModelService} from '../configuration/document.js';
 import {type HeldLease} from '../leases/lease-holder.js';
@@ -12,15 +12,15 @@
 	readRecord, type RolloutRecord, type StoredRecord, writeRecord,
 } from './rollout-record.js';
 
-/** What a rollout asks of its lease. */
+/** The fields of the lease that a rollout needs. */
 type OrderLease = Pick<HeldLease, 'fencing' | 'msLeft'>;
 
 /** Options of {@link createRolloutRunner}. */
 export type RolloutRunnerOptions = {
-	/** The service as the document has it now; `undefined` when it is gone. */
+	/** The service in the current document; `undefined` when it was removed. */
 	service: () => ModelService | undefined;
 	endpoints: () => readonly Endpoint[];
-	/** The lease on this rollout, looked up on the clock anew. */
+	/** The lease on this rollout, with the time left at the moment of the call. */
 	held: () => OrderLease | undefined;
 	control: EngineControl;
 	table: TableClient;
@@ -28,18 +28,18 @@
 	/** Milliseconds that one endpoint may take to load; 120,000 by default. */
 	loadTimeoutMs?: number;
 	/**
-	 * Milliseconds for which an order that was sent may still take effect; 5,000
-	 * by default. An owner sends none when less is left of its lease, and a new
-	 * owner waits as long before its first.
+	 * Milliseconds for which a sent order may still take effect; 5,000 by default.
+	 * An owner sends no orders when less time is left on its lease, and a new owner
+	 * waits as long before its first order.
 	 */
 	lingerMs?: number;
-	/** Told of each order, halt or turn, for logs. */
+	/** Called for each order and each change of phase or target, for logs. */
 	onEvent?: (text: string, endpoint?: string) => void;
 };
 
 /** Runs one service's rollout. */
 export type RolloutRunner = {
-	/** One round; rejects when table or weight store give no answer, and nothing was lost. */
+	/** Runs one round. Rejects when the table or the weight store does not answer, or another daemon wrote the record; the next round reads it again. */
 	tick: () => Promise<void>;
 	/** The record as last seen by this daemon. */
 	record: () => RolloutRecord | undefined;
@@ -49,7 +49,7 @@
 const defaultLingerMs = 5000;
 
 /**
- * Creates a runner; it acts only while its lease is held.
+ * Creates a runner, which acts only while its lease is held.
  *
  * @example
  * const runner = createRolloutRunner({service, endpoints, held: () => leases.held('rollout/wordsmith'), control, table, weights});
@@ -65,11 +65,11 @@
 	let busy = false;
 
 	/**
-	 * Some endpoints obey an order with an old fencing number. The owner before
-	 * sent none in the last `lingerMs` of its lease, so after as long a wait its
-	 * orders have all arrived or died, and what is read then is what stands.
+	 * Some endpoints obey orders with an old fencing number. The previous owner sent
+	 * none in the last `lingerMs` of its lease, so after `lingerMs` all its orders
+	 * have arrived or been lost, and the state read afterwards is final.
 	 */
-	function hasWaitedOut(lease: OrderLease): boolean {
+	function isHandoverOver(lease: OrderLease): boolean {
 		if (lease.fencing !== ownedFencing) {
 			ownedFencing = lease.fencing;
 			ownedSince = performance.now();
@@ -79,7 +79,7 @@
 		return performance.now() - ownedSince >= lingerMs;
 	}
 
-	async function look(service: ModelService): Promise<RolloutView> {
+	async function probeEndpoints(service: ModelService): Promise<RolloutView> {
 		const seen = await Promise.all(options.endpoints().map(async endpoint => [endpoint.name, await weightsOf(endpoint)] as const));
 		return {
 			weights: new Map(seen), minReady: service.minReady, maxLoading: service.maxLoading, nowMs: Date.now(), loadTimeoutMs,
@@ -101,7 +101,7 @@
 
 	async function step(service: ModelService): Promise<void> {
 		stored ??= await readRecord(table, service.name);
-		const view = await look(service);
+		const view = await probeEndpoints(service);
 		let {record} = stored;
 		if (record?.target !== service.version) {
 			const isNeeded = [...view.weights.values()].some(weights => weights !== undefined && weights.version !== service.version);
@@ -114,14 +114,14 @@
 
 		const plan = planRollout(record, view);
 		if (JSON.stringify(plan.record) !== JSON.stringify(stored.record)) {
-			tellTurn(stored.record, plan.record);
+			reportPhaseChange(stored.record, plan.record);
 			stored = await writeRecord(table, service.name, stored, plan.record);
 		}
 
 		await sendOrders(service, plan.orders);
 	}
 
-	function tellTurn(before: RolloutRecord | undefined, after: RolloutRecord): void {
+	function reportPhaseChange(before: RolloutRecord | undefined, after: RolloutRecord): void {
 		if (before?.phase !== after.phase || before.target !== after.target) {
 			onEvent?.(`Rollout to ${after.target}: ${after.phase}${after.reason === '' ? '' : `, ${after.reason}`}.`);
 		}
@@ -130,23 +130,23 @@
 	async function sendOrders(service: ModelService, orders: ReadonlyArray<{endpoint: string; version: string}>): Promise<void> {
 		await Promise.all(orders.map(async ({endpoint, version}) => {
 			const found = options.endpoints().find(item => item.name === endpoint);
-			// Looked at once more: writing the record may have taken long.
+			// Checked again, since writing the record may have taken long.
 			const lease = options.held();
 			if (found === undefined || lease === undefined || lease.msLeft < lingerMs) {
 				return;
 			}
 
-			onEvent?.(`Endpoint is told to load ${version}.`, endpoint);
+			onEvent?.(`Ordering the endpoint to load ${version}.`, endpoint);
 			try {
 				await control.order(found.address, {fencing: lease.fencing, model: service.model, version});
 			} catch {
-				// The order may have arrived: the next look tells, and the time limit ends it.
+				// The order may have arrived: the next round observes it, or the load timeout applies.
 			}
 		}));
 	}
 
-	/** Orders that are in the record and that no engine shows were lost with their sender. */
-	async function repeatLost(service: ModelService): Promise<void> {
+	/** Resends recorded orders whose engines are not loading; they were lost with their sender. */
+	async function resendLostOrders(service: ModelService): Promise<void> {
 		const steps = Object.entries(stored?.record?.steps ?? {});
 		const lost = [];
 		for (const [endpoint, {version}] of steps) {
@@ -165,16 +165,16 @@
 		async tick() {
 			const lease = options.held();
 			const service = options.service();
-			if (busy || lease === undefined || service === undefined || !hasWaitedOut(lease) || lease.msLeft < lingerMs) {
+			if (busy || lease === undefined || service === undefined || !isHandoverOver(lease) || lease.msLeft < lingerMs) {
 				return;
 			}
 
 			busy = true;
 			try {
 				await step(service);
-				await repeatLost(service);
+				await resendLostOrders(service);
 			} catch (error) {
-				// Whoever wrote the row since then knows more.
+				// Another daemon may have written the row, so it is read again.
 				stored = undefined;
 				throw error;
 			} finally {
--- a/packages/router/src/links.ts
+++ b/packages/router/src/links.ts
@@ -1,4 +1,4 @@
-/** Links between daemons, and the messages they carry. */
+/** Links between daemons, and their messages. */
 export type * from './lib/links/peer-link.js';
 export * from './lib/links/dispatch.js';
 export * from './lib/links/body-size.js';
--- a/packages/router/src/recovery.ts
+++ b/packages/router/src/recovery.ts
@@ -1,3 +1,3 @@
-/** How a daemon without a disk starts warm, and when it may serve. */
+/** Recovery of a diskless daemon from peers or snapshots at startup, and its readiness. */
 export * from './lib/recovery/recovery.js';
 export {createConfigurationPart, type RecoveryPart} from './lib/recovery/recovery-part.js';
--- a/packages/router/src/rollouts.ts
+++ b/packages/router/src/rollouts.ts
@@ -1,4 +1,4 @@
-/** Bringing endpoints to the weights that the document asks for. */
+/** Rollouts of the weights version that the configuration document names to endpoints. */
 export type * from './lib/rollouts/engine-control.js';
 export * from './lib/rollouts/http-engine-control.js';
 export * from './lib/rollouts/rollout-errors.js';
--- a/packages/router/src/test/gateway/attempts.test.ts
+++ b/packages/router/src/test/gateway/attempts.test.ts
@@ -49,17 +49,17 @@
 		});
 	};
 
-	// The caller gets its answer. Two engines have other weights by now and say
-	// so at once; the budget of retries is spent, and a healthy one stands by.
-	it('takes no budget for a refusal by version, learns from it and blames nobody', async () => {
+	// Two engines refuse at once because they have switched to other weights. The
+	// retry budget is empty, but a third engine can answer.
+	it('retries a version refusal without budget, observes its load and counts no failure', async () => {
 		await run({a: new EndpointRefusedError('a', 409, load), b: new EndpointRefusedError('b', 409, load)});
 		assert.deepEqual(results, ['a cancelled', 'b cancelled', 'c answered']);
 		assert.deepEqual(observed, ['a', 'b']);
 	});
 
-	// The caller is told to come back. In a brown-out engines break while they
-	// work; trying each request again would multiply the load.
-	it('gives up when an engine broke and the budget is spent', async () => {
+	// In an overload engines fail while they run requests; retrying each request
+	// would multiply the load.
+	it('gives up when an engine fails and the retry budget is empty', async () => {
 		let code = '';
 		try {
 			await run({a: new EndpointBrokenError('a')});
--- a/packages/router/src/test/links/peer-network.test.ts
+++ b/packages/router/src/test/links/peer-network.test.ts
@@ -44,9 +44,9 @@
 	}
 }
 
-/** A way through that can go mute: connections stay open and carry nothing more. */
-async function startMutableProxy(port: number) {
-	const proxy = {mute: new Set<Socket>(), accepted: 0, port: 0};
+/** Starts a proxy that can drop all data of a connection while keeping it open. */
+async function startBlackholeProxy(port: number) {
+	const proxy = {droppedConnections: new Set<Socket>(), accepted: 0, port: 0};
 	const server = createServer(near => {
 		proxy.accepted++;
 		const far = connect(port, '127.0.0.1');
@@ -54,12 +54,12 @@
 			sockets.add(from);
 			from.on('error', () => undefined);
 			from.on('data', chunk => {
-				if (!proxy.mute.has(near)) {
+				if (!proxy.droppedConnections.has(near)) {
 					to.write(chunk);
 				}
 			});
 			from.on('close', () => {
-				if (!proxy.mute.has(near)) {
+				if (!proxy.droppedConnections.has(near)) {
 					to.destroy();
 				}
 			});
@@ -84,7 +84,7 @@
 		}
 	});
 
-	it('carries messages both ways in order over one stream', async () => {
+	it('carries messages in both directions in order over one stream', async () => {
 		const [one, two] = [await startNode('vm-1'), await startNode('vm-2')];
 		one.network.setPeers([{name: 'vm-2', address: `127.0.0.1:${two.port}`}]);
 		for (let version = 1; version <= 20; version++) {
@@ -92,7 +92,7 @@
 		}
 
 		await until(() => two.heard.length === 20);
-		// The second daemon knows no address; it answers on the stream that it accepted.
+		// The second daemon knows no address and answers on the stream that it accepted.
 		two.network.send('vm-1', headOf(99));
 		await until(() => one.heard.length === 1);
 		assert.deepEqual(two.heard, Array.from({length: 20}, (_, index) => index + 1));
@@ -109,18 +109,18 @@
 		assert.isEmpty(two.network.stats());
 	});
 
-	it('destroys a link that went silent and takes a new connection', async () => {
-		// Something between two daemons loses track of their connection: no reset
-		// comes, and what is written goes nowhere, while new connections work.
-		// Only the peer's silence shows it. Without a limit, news would stop for good.
+	it('destroys a silent connection and opens a new one', async () => {
+		// A middlebox between two daemons loses track of their connection: no reset is
+		// sent and writes are lost, while new connections work. Only the peer's silence
+		// reveals it; without a limit on silence, messages would stop for good.
 		const two = await startNode('vm-2');
-		const proxy = await startMutableProxy(two.port);
+		const proxy = await startBlackholeProxy(two.port);
 		const one = await startNode('vm-1');
 		one.network.setPeers([{name: 'vm-2', address: `127.0.0.1:${proxy.port}`}]);
 		one.network.send('vm-2', headOf(1));
 		await until(() => two.heard.includes(1));
 		for (const socket of sockets) {
-			proxy.mute.add(socket);
+			proxy.droppedConnections.add(socket);
 		}
 
 		for (let version = 2; !two.heard.some(heard => heard > 1); version++) {
@@ -132,9 +132,9 @@
 		await until(() => two.network.stats()[0].connected);
 	});
 
-	it('drops what an older process of a peer still had on its way', async () => {
-		// A daemon restarts; its old process is paused, wakes and sends. Its news
-		// must not pass for the new process's.
+	it('drops messages from an older process of a peer', async () => {
+		// A daemon restarts while its old process is paused; the old process resumes
+		// and sends. Its messages must not be taken for those of the new process.
 		const two = await startNode('vm-2');
 		const address = `127.0.0.1:${two.port}`;
 		const [older, newer] = [await startNode('vm-1', {incarnation: 1n}), await startNode('vm-1', {incarnation: 2n})];
@@ -151,8 +151,8 @@
 		assert.notInclude(two.from, 'vm-1/1');
 	});
 
-	it('keeps the queue toward a peer that does not answer bounded', async () => {
-		const one = await startNode('vm-1', {mostMessages: 10});
+	it('bounds the queue to a peer that does not answer', async () => {
+		const one = await startNode('vm-1', {maxMessages: 10});
 		one.network.setPeers([{name: 'vm-2', address: '127.0.0.1:1'}]);
 		for (let version = 1; version <= 100; version++) {
 			one.network.send('vm-2', headOf(version));
@@ -162,9 +162,9 @@
 		assert.equal(one.network.stats()[0].dropped, 90);
 	});
 
-	it('never delivers what waited too long for a peer to come back', async () => {
-		// A peer is away for long. A head queued before said "newest 0 ms ago";
-		// delivered late, it would let the peer serve by knowledge that is old.
+	it('drops stale messages to a peer that was unreachable', async () => {
+		// A head that was queued for an unreachable peer says "newest 0 ms ago".
+		// Delivered late, it would let the peer serve with an outdated configuration.
 		const [one, two] = [await startNode('vm-1', {staleMs: 30}), await startNode('vm-2')];
 		one.network.send('vm-2', headOf(1));
 		await pause(40);
@@ -177,7 +177,7 @@
 		assert.notInclude(two.heard, 1);
 	});
 
-	it('closes a link that idles, and opens it again when there is news', async () => {
+	it('closes an idle link, and opens it again for a new message', async () => {
 		const [one, two] = [await startNode('vm-1', {idleMs: 60}), await startNode('vm-2', {idleMs: 60})];
 		one.network.setPeers([{name: 'vm-2', address: `127.0.0.1:${two.port}`}]);
 		one.network.send('vm-2', headOf(1));
--- a/packages/router/src/test/links/whole-state.test.ts
+++ b/packages/router/src/test/links/whole-state.test.ts
@@ -15,7 +15,7 @@
 const secret = 'a secret of the fleet';
 const dataCentre = 'hobart-a';
 
-/** One daemon's state parts over real links, wired as a daemon wires them. */
+/** Starts the modules that hold a daemon's state over real links, wired as in a daemon. */
 async function startNode(name: string, platform: FakePlatform, vms: VmEntry[]) {
 	const incarnation = BigInt(Date.now());
 	const network = createPeerNetwork({
@@ -63,11 +63,10 @@
 	}
 }
 
-describe('state of daemons over real links', () => {
-	it('brings a key into force on all, withdraws it, and starts a daemon warm while the store is down', async () => {
-		// Three daemons as in service. A key is given and withdrawn through different
-		// daemons; then the store goes down and a fourth starts, which can learn
-		// only from its peers.
+describe('daemon state over real links', () => {
+	it('activates a key on all daemons, revokes it, and starts a daemon from its peers while the store is down', async () => {
+		// A key is issued through one of three daemons and revoked through another.
+		// Then the store goes down, and a fourth daemon can start only from its peers.
 		const platform = createFakePlatform();
 		const vms: VmEntry[] = [];
 		const nodes: Node[] = [];
--- a/packages/router/src/test/recovery/first-daemon.test.ts
+++ b/packages/router/src/test/recovery/first-daemon.test.ts
@@ -11,10 +11,10 @@
 };
 
 describe('recovery of the first daemon of a fleet', () => {
-	// The balancer sees the daemon ready after a second, not after five. There
-	// is no snapshot yet and no peer that could have one, so waiting longer for
-	// what is missing would only keep callers out.
-	it('does not wait for what no source has', async () => {
+	// There is no snapshot and no peer, so no source has the missing part. The daemon
+	// must be ready after the minimum of one second instead of the maximum of five;
+	// waiting longer would only delay callers.
+	it('does not wait for parts that no source has', async () => {
 		const clock = FakeTimers.install();
 		try {
 			const recovery = createRecovery({
@@ -35,7 +35,7 @@
 		}
 	});
 
-	// A peer is known and slow to answer: what it knows is worth the wait.
+	// A known peer that is slow to answer may have the missing part.
 	it('waits for a peer that has not answered', async () => {
 		const clock = FakeTimers.install();
 		try {
--- a/packages/router/src/test/recovery/recovery.test.ts
+++ b/packages/router/src/test/recovery/recovery.test.ts
@@ -9,14 +9,14 @@
 import {
 	createConfigurationPart, createRecovery, type Recovery, type RecoveryPart, type RecoveryReport,
 } from '../../recovery.js';
-import {sealPart} from '../../lib/recovery/recovery-part.js';
+import {createSnapshotPart} from '../../lib/recovery/recovery-part.js';
 import {createFakeLinks, type FakeLinksOptions} from '../configuration/fake-links.js';
 import {createFakePlatform, type Fault} from '../configuration/fake-platform.js';
 import {sampleDocument} from '../configuration/sample-document.js';
 
 type Daemon = {follower: ConfigurationFollower; recovery: Recovery; warm: RecoveryPart & {content: string}; report?: RecoveryReport};
 
-/** Daemons of one data centre with real followers; all hear each other. */
+/** Daemons of one data centre with real configuration followers and links between all of them. */
 function createFleet(size: number, options: FakeLinksOptions & {delayMs?: () => number} = {}) {
 	const platform = createFakePlatform(options);
 	const links = createFakeLinks(options);
@@ -110,10 +110,10 @@
 		fleet.platform.setFault(() => fault);
 	}
 
-	it('serves at once from its peers while the store is down for an hour', async () => {
-		// A daemon restarts in the middle of a long outage of table and objects.
-		// Its peers know the version in force and what is warm, and a majority that
-		// has no news proves that nothing newer was accepted.
+	it('recovers from its peers at once during an hour-long store outage', async () => {
+		// A daemon restarts during a long outage of the table and the object store. Its
+		// peers have the active version and the cached prefixes, and a majority of them
+		// without a newer version proves that none was accepted.
 		await startFleet(4);
 		setStore('down');
 		await clock.tickAsync(1_800_000);
@@ -128,10 +128,10 @@
 		}
 	});
 
-	it('stays unready through a herd restart with the store down, and serves once it is back', async () => {
-		// All daemons restart at once while the table is away. The snapshot can be
-		// read, but nobody can know whether a key was withdrawn after it: serving
-		// by it would be a guess. Once the table answers all must be ready soon.
+	it('stays unready after a restart of all daemons while the table is down, and serves once it is back', async () => {
+		// All daemons restart at once while the table is down. The snapshot is readable,
+		// but a key may have been revoked after it was written, so it is not safe to
+		// serve from. Once the table answers, all must soon be ready.
 		await startFleet(6);
 		await clock.tickAsync(60_000);
 		for (const name of fleet.names) {
@@ -171,7 +171,7 @@
 		assert.equal(fleet.daemons.get('vm-5')?.warm.content, 'hot prefixes');
 	});
 
-	it('restarts as a herd on a slow store within its budget of reads', async () => {
+	it('recovers all daemons at once on a slow store with a bounded number of reads', async () => {
 		await startFleet(30, {delayMs: () => 400});
 		await clock.tickAsync(60_000);
 		for (const name of fleet.names) {
@@ -188,16 +188,16 @@
 		assert.isBelow(fleet.platform.reads - readsBefore, 60);
 	});
 
-	it('takes the snapshot before one that is damaged or of a newer layout', async () => {
-		// The newest objects can't be used: one was damaged, one was written by an
-		// upgraded daemon. Taking either would start the daemon with nonsense.
+	it('falls back to an older snapshot when newer ones are damaged or of a newer layout', async () => {
+		// The newest objects can't be used: one is damaged, one was written by an
+		// upgraded daemon. Importing either would corrupt the state of the daemon.
 		await startFleet(1);
 		await clock.tickAsync(60_000);
 		const blobs = [...fleet.platform.blobs].filter(([name]) => name.startsWith('recovery/'));
 		assert.lengthOf(blobs, 1);
 		const damaged = Buffer.from(blobs[0][1]);
 		damaged.write('cold', damaged.indexOf('hot prefixes'));
-		const newer = sealPart('', 'routing', Buffer.from('of another layout'));
+		const newer = createSnapshotPart('', 'routing', Buffer.from('of another layout'));
 		fleet.platform.blobs.set('recovery/snapshots/000000000002', damaged);
 		fleet.platform.blobs.set('recovery/snapshots/000000000003', toBinary(SnapshotSchema, create(SnapshotSchema, {layout: 99, parts: [newer]})));
 		fleet.stop('vm-0');
@@ -206,7 +206,7 @@
 		assert.equal(fleet.daemons.get('vm-0')?.warm.content, 'hot prefixes');
 	});
 
-	it('asks another peer when one does not answer', async () => {
+	it('requests from another peer when one does not answer', async () => {
 		await startFleet(4, {route: (from, to) => from === 'vm-0' && to === 'vm-3' ? [] : [2]});
 		const second = fleet.daemons.get('vm-1');
 		assert.exists(second);
@@ -219,8 +219,8 @@
 	});
 
 	it('writes no snapshot before it is ready', async () => {
-		// A daemon that knows nothing yet holds the duty. What it wrote would push
-		// out the snapshots that others could start from.
+		// A daemon without any state has the duty of writing snapshots. Its snapshot
+		// would displace those that others could start from.
 		fleet = createFleet(1);
 		fleet.start('vm-0');
 		await clock.tickAsync(300_000);
@@ -228,7 +228,7 @@
 		assert.isEmpty([...fleet.platform.blobs.keys()]);
 	});
 
-	it('writes the next snapshot though the answer to the last one was lost', async () => {
+	it('writes the next snapshot after the answer to a write was lost', async () => {
 		await startFleet(1);
 		setStore('lost');
 		await clock.tickAsync(120_000);
--- a/packages/router/src/test/rollouts/rollouts.test.ts
+++ b/packages/router/src/test/rollouts/rollouts.test.ts
@@ -10,7 +10,7 @@
 
 const loadMs = 400;
 
-/** Engines that obey any order, old fencing numbers included, and can fail to load. */
+/** Fake engines that obey any order, also with an old fencing number, and can fail to load. */
 function createEngines(count: number) {
 	const engines = new Map<string, FakeEngine>();
 	for (let index = 0; index < count; index++) {
@@ -29,8 +29,8 @@
 	};
 
 	const state = {
-		mostLoading: 0,
-		fewestReady: count,
+		peakLoading: 0,
+		lowestReady: count,
 		orders: [] as LoadOrder[],
 	};
 	const look = () => {
@@ -39,8 +39,8 @@
 			loading += settle(engine).loadingTo === undefined ? 0 : 1;
 		}
 
-		state.mostLoading = Math.max(state.mostLoading, loading);
-		state.fewestReady = Math.min(state.fewestReady, count - loading);
+		state.peakLoading = Math.max(state.peakLoading, loading);
+		state.lowestReady = Math.min(state.lowestReady, count - loading);
 	};
 
 	const control: EngineControl = {
@@ -138,7 +138,7 @@
 			try {
 				await runner.tick();
 			} catch {
-				// The table failed as ordered; the next round goes on.
+				// The table fault was injected; the next round continues.
 			}
 
 			look();
@@ -153,24 +153,24 @@
 		const runner = fleet.startOwner(() => leaseOf(1));
 		await run(runner, 8000, fleet.look);
 		assert.deepEqual(new Set(versionsOf(fleet.engines)), new Set(['w2']));
-		assert.equal(fleet.state.mostLoading, 3);
-		assert.isAtLeast(fleet.state.fewestReady, 4);
+		assert.equal(fleet.state.peakLoading, 3);
+		assert.isAtLeast(fleet.state.lowestReady, 4);
 		assert.lengthOf(fleet.state.orders, 8);
 	});
 
-	// Callers keep their floor of ready replicas: with five endpoints and a floor
-	// of four, only one may load at a time, whatever the other bound allows.
-	it('never takes the service below its floor', async () => {
+	// With five endpoints and minReady 4, only one may load at a time, although
+	// maxLoading allows more.
+	it('never takes the service below minReady', async () => {
 		const fleet = createFleet(5);
 		await run(fleet.startOwner(() => leaseOf(1)), 10_000, fleet.look);
 		assert.deepEqual(new Set(versionsOf(fleet.engines)), new Set(['w2']));
-		assert.equal(fleet.state.mostLoading, 1);
+		assert.equal(fleet.state.peakLoading, 1);
 	});
 
-	// Callers go on with the old weights. The second endpoint never finishes its
-	// load; fewer run the new weights than the old, so the rollout turns back,
-	// and does not try the same weights again by itself.
-	it('turns back when a load fails early, and halts', async () => {
+	// The second endpoint never finishes loading. Fewer endpoints run the new weights
+	// than the old, so the rollout rolls back, and does not retry the same weights
+	// by itself.
+	it('rolls back when a load fails early, and halts', async () => {
 		const fleet = createFleet(8);
 		fleet.engines.get('http://e1')!.broken = true;
 		const runner = fleet.startOwner(() => leaseOf(1));
@@ -182,9 +182,9 @@
 		assert.isBelow(fleet.state.orders.filter(order => order.version === 'w2').length, 9);
 	});
 
-	// An operator has to decide. The last endpoint fails when most run the new
-	// weights already; going back would touch more than going on.
-	it('halts without turning back past the point of no return', async () => {
+	// The last endpoint fails when most already run the new weights. A rollback would
+	// affect more endpoints than completing the rollout, so an operator must decide.
+	it('halts without a rollback when most endpoints run the new weights', async () => {
 		const fleet = createFleet(8);
 		fleet.engines.get('http://e7')!.broken = true;
 		const runner = fleet.startOwner(() => leaseOf(1));
@@ -194,10 +194,10 @@
 		assert.isEmpty(fleet.state.orders.filter(order => order.version === 'w1'));
 	});
 
-	// Endpoints that ignore fencing numbers obey whoever speaks last. The first
-	// owner sends nothing in the last second of its lease, and the second waits
+	// Endpoints that ignore fencing numbers obey the last order they receive. The
+	// first owner sends nothing in the last second of its lease, and the second waits
 	// a second before its first order, so no late order follows a newer one.
-	it('lets no order of an old owner follow one of the new', async () => {
+	it('never sends an order of the old owner after one of the new owner', async () => {
 		const fleet = createFleet(8);
 		const ending = fleet.startOwner(() => leaseOf(1, 900));
 		await run(ending, 3000, fleet.look);
@@ -209,21 +209,21 @@
 		assert.deepEqual(new Set(fleet.state.orders.map(order => order.fencing)), new Set([2]));
 	});
 
-	// Operators see the rollout go on. Its owner wrote down three steps and was
-	// lost before their orders left; its successor finds them in the record, sees
-	// that no engine loads, and gives the orders under its own number.
-	it('gives orders again that were lost with their owner', async () => {
+	// The owner recorded three steps and crashed before their orders were sent. The
+	// new owner finds them in the record, sees that no engine is loading, and sends
+	// the orders under its own fencing number.
+	it('resends orders that were lost with their owner', async () => {
 		const fleet = createFleet(8);
-		const mute = {...fleet.control, order: async () => undefined};
-		await run(fleet.startOwner(() => leaseOf(1), mute), 1500, fleet.look);
+		const orderDroppingControl = {...fleet.control, order: async () => undefined};
+		await run(fleet.startOwner(() => leaseOf(1), orderDroppingControl), 1500, fleet.look);
 		assert.isEmpty(fleet.state.orders);
 		await run(fleet.startOwner(() => leaseOf(2)), 1300, fleet.look);
 		assert.lengthOf(fleet.state.orders, 3);
 	});
 
-	// Owners crash between any two steps while the table fails and loses answers.
-	// Whatever happens, the bounds hold, and an owner that lasts ends the rollout.
-	it('goes on after crashes of its owner, within its bounds', async () => {
+	// Owners crash between any two steps while the table fails and loses answers. The
+	// limits always hold, and an owner that keeps running completes or halts the rollout.
+	it('continues after crashes of its owner, within its limits', async () => {
 		await fc.assert(fc.asyncProperty(
 			fc.array(fc.record({ticks: fc.integer({min: 0, max: 30}), faults: fc.array(fc.constantFrom('none', 'none', 'down', 'lost'), {maxLength: 6})}), {maxLength: 6}),
 			async owners => {
@@ -240,8 +240,8 @@
 				faults = [];
 				const last = fleet.startOwner(() => leaseOf(fencing + 1));
 				await run(last, 25_000, fleet.look);
-				assert.isAtMost(fleet.state.mostLoading, 3);
-				assert.isAtLeast(fleet.state.fewestReady, 4);
+				assert.isAtMost(fleet.state.peakLoading, 3);
+				assert.isAtLeast(fleet.state.lowestReady, 4);
 				const isDone = versionsOf(fleet.engines).every(version => version === 'w2');
 				assert.isTrue(isDone || last.record()!.phase === 'halted', JSON.stringify(last.record()));
 			},
