--- a/packages/daemon/src/hickorywalk.ts
+++ b/packages/daemon/src/hickorywalk.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command line. Exit codes: 0 done, 1 failed, 2 called wrongly. */
+/** Entry point of the command line. Exit codes: 0 success, 1 failure, 2 usage error. */
 import process from 'node:process';
 import {LayerError} from 'hickorywalk';
 import yargs from 'yargs';
@@ -26,15 +26,15 @@
 	.command(traceCommand)
 	.command(demoCommand)
 	.command(standinCommand)
-	.demandCommand(1, 'Name a command; --help lists them.')
+	.demandCommand(1, 'Specify a command; --help lists them.')
 	.strict()
 	.fail((message, error) => {
-		console.error(error === undefined ? `${message}\nRun hickorywalk --help.` : describe(error));
+		console.error(error === undefined ? `${message}\nRun hickorywalk --help.` : formatError(error));
 		process.exit(error === undefined ? exitCodeUsage : exitCodeFailed);
 	})
 	.help()
 	.parseAsync();
 
-function describe(error: Error): string {
+function formatError(error: Error): string {
 	return error instanceof LayerError ? `${error.code}: ${error.message}` : String(error.stack);
 }
--- a/packages/daemon/src/lib/administration-client.ts
+++ b/packages/daemon/src/lib/administration-client.ts
@@ -1,4 +1,4 @@
-/** Speaks to a daemon's administration API for the command line. */
+/** Client of a daemon's administration API, used by the command line. */
 import {readFile} from 'node:fs/promises';
 import process from 'node:process';
 import {type Argv} from 'yargs';
@@ -6,36 +6,36 @@
 import {z} from 'zod';
 import {AdministrationCallError, CommandError} from './daemon-errors.js';
 
-/** Options that every command has that asks a daemon. */
+/** Options shared by all commands that call a daemon. */
 export type AdministrationArguments = {
 	/** Base URL of the administration API of any daemon. */
 	admin: string;
-	/** Path of a file with the operator's key. */
+	/** Path of a file that holds the operator's key. */
 	keyFile: string | undefined;
 };
 
-/** The variable that holds an operator's key where no file is named. */
+/** Environment variable that holds the operator's key when no key file is given. */
 export const operatorKeyVariable = 'HICKORYWALK_OPERATOR_KEY';
 
-/** Adds the options to a command. */
+/** Adds the options of {@link AdministrationArguments} to a command. */
 export function withAdministration<Arguments>(yargs: Argv<Arguments>) {
 	return yargs
 		.option('admin', {type: 'string', demandOption: true, describe: 'Base URL of the administration API of any daemon.'})
 		.option('keyFile', {type: 'string', describe: `File with the operator's key; without it the variable ${operatorKeyVariable} is read.`});
 }
 
-/** One call. */
+/** A request to the administration API. */
 export type AdministrationCall = {
 	method?: 'GET' | 'POST' | 'PUT' | 'DELETE';
 	path: string;
 	body?: unknown;
-	/** Version that a change was made from. */
+	/** Configuration version that a change is based on; sent as `If-Match`. */
 	fromVersion?: number;
 };
 
-/** A daemon's answer. */
+/** A successful response. */
 export type AdministrationAnswer = {
-	/** Version of the configuration that the answer is about; 0 when it says none. */
+	/** Configuration version from the response's `ETag`; 0 when it has none. */
 	version: number;
 	text: string;
 };
@@ -44,10 +44,10 @@
 const etag = /"(?<version>\d+)"/v;
 
 /**
- * Calls the API.
+ * Sends a request to the administration API.
  *
- * @throws {AdministrationCallError} with the daemon's own words when it refuses.
- * @throws {CommandError} when there is no key, or the daemon can't be reached.
+ * @throws {AdministrationCallError} with the status and the daemon's error message when it refuses the request.
+ * @throws {CommandError} when there is no readable key, or the daemon can't be reached.
  */
 export async function callAdministration({admin, keyFile}: AdministrationArguments, call: AdministrationCall): Promise<AdministrationAnswer> {
 	const key = await readOperatorKey(keyFile);
@@ -66,7 +66,7 @@
 			method: call.method ?? 'GET', headers, body: call.body === undefined ? null : JSON.stringify(call.body),
 		});
 	} catch (error) {
-		throw new CommandError(`No daemon answers at ${admin}. Name another one with --admin.`, {cause: error});
+		throw new CommandError(`Can't reach a daemon at ${admin}. Specify another one with --admin.`, {cause: error});
 	}
 
 	const text = await res.text();
@@ -89,7 +89,7 @@
 
 	const key = process.env[operatorKeyVariable];
 	if (key === undefined || key === '') {
-		throw new CommandError(`There is no operator's key. Name a file with --key-file, or set ${operatorKeyVariable}.`);
+		throw new CommandError(`No operator's key is given. Specify a file with --key-file, or set ${operatorKeyVariable}.`);
 	}
 
 	return key;
@@ -102,6 +102,6 @@
 		const more = Object.keys(details).length === 0 ? '' : `\n${JSON.stringify(details, undefined, 2)}`;
 		return new AdministrationCallError(`${status} ${code}: ${message}${more}`);
 	} catch {
-		return new AdministrationCallError(`The daemon answered ${status}: ${text}`);
+		return new AdministrationCallError(`The daemon responded with status ${status}: ${text}`);
 	}
 }
--- a/packages/daemon/src/lib/commands/config.ts
+++ b/packages/daemon/src/lib/commands/config.ts
@@ -1,4 +1,4 @@
-/** `hickorywalk config`: checks, shows and changes the fleet's document. */
+/** `hickorywalk config`: checks, shows and changes the fleet's configuration document. */
 import {readFile} from 'node:fs/promises';
 import {parseDocument} from 'hickorywalk/configuration.js';
 import {type CommandModule} from 'yargs';
@@ -8,7 +8,7 @@
 
 type FileArguments = {file: string};
 
-/** Reads a document; its text may be wrong, its JSON not. */
+/** Reads and parses a file; the document in it is not validated. */
 async function readDocumentFile(file: string): Promise<unknown> {
 	let text;
 	try {
@@ -20,7 +20,7 @@
 	try {
 		return JSON.parse(text);
 	} catch (error) {
-		throw new CommandError(`${file} is no JSON: ${error instanceof Error ? error.message : ''}`, {cause: error});
+		throw new CommandError(`${file} is not valid JSON: ${error instanceof Error ? error.message : ''}`, {cause: error});
 	}
 }
 
@@ -77,18 +77,18 @@
 		const {text} = await callAdministration(args, {
 			method: 'PUT', path: '/v1/configuration', body: await readDocumentFile(file), fromVersion: from,
 		});
-		await tellInForce(args, text, wait);
+		await printInForce(args, text, wait);
 	},
 };
 
-/** Prints where a version is in force, until it is so everywhere. */
-export async function tellInForce(args: AdministrationArguments, first: string, wait: boolean): Promise<void> {
+/** Prints where a version is in force; with `wait`, polls and prints each change until it is in force everywhere. */
+export async function printInForce(args: AdministrationArguments, first: string, wait: boolean): Promise<void> {
 	let summary = inForceSchema.parse(JSON.parse(first));
-	let told = '';
+	let printed = '';
 	for (;;) {
-		if (summary.text !== told) {
-			told = summary.text;
-			console.log(`Version ${summary.version}: ${told}`);
+		if (summary.text !== printed) {
+			printed = summary.text;
+			console.log(`Version ${summary.version}: ${printed}`);
 		}
 
 		if (summary.complete || !wait) {
@@ -103,10 +103,10 @@
 	}
 }
 
-/** The command. */
+/** The `config` command. */
 export const configCommand: CommandModule = {
 	command: 'config',
 	describe: 'Check, show and change the document of the fleet.',
-	builder: yargs => yargs.command(checkCommand).command(showCommand).command(diffCommand).command(applyCommand).demandCommand(1, 'Name what to do: check, show, diff or apply.'),
+	builder: yargs => yargs.command(checkCommand).command(showCommand).command(diffCommand).command(applyCommand).demandCommand(1, 'Specify a subcommand: check, show, diff or apply.'),
 	handler: () => undefined,
 };
--- a/packages/daemon/src/lib/commands/demo.ts
+++ b/packages/daemon/src/lib/commands/demo.ts
@@ -1,4 +1,4 @@
-/** `hickorywalk demo`: a small fleet in one process, real requests, and the measures. */
+/** `hickorywalk demo`: runs a small fleet in one process, sends it real requests and prints the measurements. */
 import {build, type Histogram} from 'hdr-histogram-js';
 import {fetch} from 'undici';
 import {type CommandModule} from 'yargs';
@@ -16,7 +16,7 @@
 const outputTokens = 24;
 const concurrency = 6;
 
-/** The command. */
+/** The `demo` command. */
 export const demoCommand: CommandModule = {
 	command: 'demo',
 	describe: 'Run a small fleet with stand-ins in this process, send requests, print the measures.',
@@ -49,7 +49,7 @@
 }
 
 type Call = {
-	/** Index of the router that is asked. */
+	/** Index of the router that receives the request. */
 	daemon: number;
 	path: string;
 	workspace: string;
@@ -80,7 +80,7 @@
 		},
 	});
 	if (!res.ok || res.body === null) {
-		throw new Error(`The router answered ${res.status}: ${await res.text()}`);
+		throw new Error(`The router responded with status ${res.status}: ${await res.text()}`);
 	}
 
 	let rest = '';
@@ -112,7 +112,7 @@
 	const left = requests.entries();
 	await Promise.all(Array.from({length: concurrency}, async () => {
 		for (const [index, request] of left) {
-			await tallyOne(fleet, index % fleet.daemons.length, request, tally);
+			await measureRequest(fleet, index % fleet.daemons.length, request, tally);
 		}
 	}));
 	const share = (100 * tally.cachedTokens) / tally.promptTokens;
@@ -121,7 +121,7 @@
 	console.log(`  first token p50 ${tally.firstToken.getValueAtPercentile(50)} ms, p95 ${tally.firstToken.getValueAtPercentile(95)} ms, p99 ${tally.firstToken.getValueAtPercentile(99)} ms`);
 }
 
-async function tallyOne(fleet: EmbeddedFleet, daemon: number, request: DemoRequest, tally: Tally): Promise<void> {
+async function measureRequest(fleet: EmbeddedFleet, daemon: number, request: DemoRequest, tally: Tally): Promise<void> {
 	const sentAt = performance.now();
 	let begun = false;
 	try {
@@ -141,7 +141,7 @@
 	}
 }
 
-/** The same order through both routers under one key: the second gets the stored answer. */
+/** Sends the same order through both routers with one idempotency key: the second router returns the stored answer. */
 async function placeOrders(fleet: EmbeddedFleet): Promise<void> {
 	const headers = {'idempotency-key': 'carnival-northern-ribbons'};
 	const answers: string[] = [];
--- a/packages/daemon/src/lib/commands/keys.ts
+++ b/packages/daemon/src/lib/commands/keys.ts
@@ -1,8 +1,8 @@
-/** `hickorywalk keys`: gives and withdraws the keys of workspaces. */
+/** `hickorywalk keys`: creates and withdraws keys of workspaces. */
 import {type CommandModule} from 'yargs';
 import {z} from 'zod';
 import {type AdministrationArguments, callAdministration, withAdministration} from '../administration-client.js';
-import {tellInForce} from './config.js';
+import {printInForce} from './config.js';
 
 type KeyArguments = AdministrationArguments & {workspace: string; id: string};
 
@@ -39,14 +39,14 @@
 		const {text} = await callAdministration(args, {
 			method: 'DELETE', path: `/v1/workspaces/${encodeURIComponent(workspace)}/keys/${encodeURIComponent(id)}`, fromVersion: await currentVersion(args),
 		});
-		await tellInForce(args, text, true);
+		await printInForce(args, text, true);
 	},
 };
 
-/** The command. */
+/** The `keys` command. */
 export const keysCommand: CommandModule = {
 	command: 'keys',
 	describe: 'Give and withdraw keys of workspaces.',
-	builder: yargs => yargs.command(createCommand).command(withdrawCommand).demandCommand(1, 'Name what to do: create or withdraw.'),
+	builder: yargs => yargs.command(createCommand).command(withdrawCommand).demandCommand(1, 'Specify a subcommand: create or withdraw.'),
 	handler: () => undefined,
 };
--- a/packages/daemon/src/lib/commands/serve.ts
+++ b/packages/daemon/src/lib/commands/serve.ts
@@ -1,10 +1,10 @@
-/** `hickorywalk serve`: runs one daemon until it is told to stop. */
+/** `hickorywalk serve`: runs one daemon until SIGTERM or SIGINT. */
 import process from 'node:process';
 import {type CommandModule} from 'yargs';
 
 type ServeArguments = {settings: string; check: boolean};
 
-/** The command. */
+/** The `serve` command. */
 export const serveCommand: CommandModule<unknown, ServeArguments> = {
 	command: 'serve',
 	describe: 'Run one daemon.',
@@ -14,7 +14,7 @@
 		.example('$0 serve --settings vm-1.json', 'Serve until SIGTERM, then drain.')
 		.example('$0 serve --settings vm-1.json --check', 'Only check the settings.'),
 	async handler({settings: file, check}) {
-		// Loaded here, so that no other command pays for all of the daemon.
+		// Imported here so that other commands don't load the whole daemon.
 		const {readSettings} = await import('../settings.js');
 		const settings = await readSettings(file);
 		if (check) {
--- a/packages/daemon/src/lib/commands/standin.ts
+++ b/packages/daemon/src/lib/commands/standin.ts
@@ -1,9 +1,9 @@
-/** `hickorywalk standin`: runs a stand-in of an outside system. */
+/** `hickorywalk standin`: runs a stand-in for an external system. */
 import {type CommandModule} from 'yargs';
 
 type StandinArguments = {kind: 'platform' | 'engine' | 'service'; host: string; port: number; options: string};
 
-/** The command. */
+/** The `standin` command. */
 export const standinCommand: CommandModule<unknown, StandinArguments> = {
 	command: 'standin <kind>',
 	describe: 'Run a stand-in of the platform, an engine or a plain service.',
--- a/packages/daemon/src/lib/commands/status.ts
+++ b/packages/daemon/src/lib/commands/status.ts
@@ -1,4 +1,4 @@
-/** `hickorywalk status`, `orders` and `report`: what operators ask of a running fleet. */
+/** `hickorywalk status`, `orders` and `report`: inspect a running fleet and settle orders. */
 import {type CommandModule} from 'yargs';
 import {type AdministrationArguments, callAdministration, withAdministration} from '../administration-client.js';
 
@@ -7,7 +7,7 @@
 	console.log(JSON.stringify(JSON.parse(text), undefined, 2));
 }
 
-/** The command. */
+/** The `status` command. */
 export const statusCommand: CommandModule<unknown, AdministrationArguments> = {
 	command: 'status',
 	describe: 'Show VMs, endpoints and the version in force, as one daemon sees them.',
@@ -37,11 +37,11 @@
 	},
 };
 
-/** The command. */
+/** The `orders` command. */
 export const ordersCommand: CommandModule = {
 	command: 'orders',
 	describe: 'List and settle orders whose outcome is unknown.',
-	builder: yargs => yargs.command(listCommand).command(settleCommand).demandCommand(1, 'Name what to do: unknown or settle.'),
+	builder: yargs => yargs.command(listCommand).command(settleCommand).demandCommand(1, 'Specify a subcommand: unknown or settle.'),
 	handler: () => undefined,
 };
 
@@ -59,10 +59,10 @@
 	},
 };
 
-/** The command. */
+/** The `report` command. */
 export const reportCommand: CommandModule = {
 	command: 'report',
 	describe: 'Reports on service levels.',
-	builder: yargs => yargs.command(burnCommand).demandCommand(1, 'Name the report: burn.'),
+	builder: yargs => yargs.command(burnCommand).demandCommand(1, 'Specify a report: burn.'),
 	handler: () => undefined,
 };
--- a/packages/daemon/src/lib/commands/trace.ts
+++ b/packages/daemon/src/lib/commands/trace.ts
@@ -4,7 +4,7 @@
 import {type CommandModule} from 'yargs';
 import {type AdministrationArguments, callAdministration, withAdministration} from '../administration-client.js';
 
-/** The policies by name; the replay itself is loaded when it is asked for. */
+/** Names of the policies, listed here so that the replay code is loaded only when it is used. */
 const policyChoices = ['hickorywalk', 'round-robin', 'least-load', 'whole-prompt-hash', 'prefix-hash'] as const satisfies readonly PolicyName[];
 
 type ReplayArguments = {file: string; policy: PolicyName[] | undefined};
@@ -39,10 +39,10 @@
 	},
 };
 
-/** The command. */
+/** The `trace` command. */
 export const traceCommand: CommandModule = {
 	command: 'trace',
 	describe: 'Record traffic and replay it.',
-	builder: yargs => yargs.command(recordCommand).command(replayCommand).demandCommand(1, 'Name what to do: record or replay.'),
+	builder: yargs => yargs.command(recordCommand).command(replayCommand).demandCommand(1, 'Specify a subcommand: record or replay.'),
 	handler: () => undefined,
 };
--- a/packages/daemon/src/lib/container.ts
+++ b/packages/daemon/src/lib/container.ts
@@ -1,4 +1,4 @@
-/** Registers the parts of one daemon; each is made when it is first asked for. */
+/** Dependency-injection container of one daemon; each part is created when it is first resolved. */
 import {
 	asFunction, asValue, type AwilixContainer, createContainer, InjectionMode,
 } from 'awilix';
@@ -12,7 +12,7 @@
 import {createHttpEngineControl} from 'hickorywalk/rollouts.js';
 import {createPromptHasher, createRetryBudget} from 'hickorywalk/routing.js';
 import {type Settings} from './settings.js';
-import {wireLeases, wireRollouts} from './wiring/duty-wiring.js';
+import {wireLeases, wireDutyRunner} from './wiring/duty-wiring.js';
 import {
 	wireEndpointWatch, wirePicker, wirePlacer, wireQueues, wireRefreshEndpoints, wireServiceProxy,
 } from './wiring/endpoint-wiring.js';
@@ -59,7 +59,7 @@
 		recovery: asFunction(wireRecovery).singleton(),
 		leases: asFunction(wireLeases).singleton(),
 		engineControl: asFunction(({engineProbe}: Parts) => createHttpEngineControl({probe: engineProbe.probe, timeoutMs: settings.engines.probeMs})).singleton(),
-		rollouts: asFunction(wireRollouts).singleton(),
+		dutyRunner: asFunction(wireDutyRunner).singleton(),
 		traceTaps: asFunction(() => new Set<TraceTap>()).singleton(),
 		models: asFunction(wireModels).singleton(),
 		server: asFunction(wireServer).singleton(),
--- a/packages/daemon/src/lib/daemon.ts
+++ b/packages/daemon/src/lib/daemon.ts
@@ -1,9 +1,9 @@
-/** One daemon: starts its parts in order, and stops without cutting a request. */
+/** Lifecycle of one daemon: starts its parts in order, and stops without interrupting a request. */
 import {setTimeout as delay} from 'node:timers/promises';
 import {Phase} from 'hickorywalk/links.js';
 import {createParts} from './container.js';
 import {type Settings} from './settings.js';
-import {followMembers} from './wiring/fleet-wiring.js';
+import {updateLimiterPeers} from './wiring/fleet-wiring.js';
 import {type Parts} from './wiring/parts.js';
 
 /** A running daemon. */
@@ -16,9 +16,9 @@
 	administrationUrl: string;
 	/** Host and port for other daemons. */
 	peerAddress: string;
-	/** Resolves once the daemon tells the balancer that it is ready. */
+	/** Resolves once the daemon reports to the load balancer that it is ready. */
 	ready: () => Promise<void>;
-	/** Unready first, then every request under way ends, then the parts stop. */
+	/** Reports unready, waits for all requests in progress, then stops the parts. */
 	stop: () => Promise<void>;
 };
 
@@ -28,14 +28,14 @@
 /** Starts a daemon; it serves as soon as it knows the configuration in force. */
 export async function startDaemon(settings: Settings): Promise<Daemon> {
 	const {cradle: parts} = await createParts(settings);
-	// The peer port comes first: whoever has it knows that an older process of
-	// this daemon is gone, and others learn where to answer.
+	// The peer port is bound first: success proves that no older process of this
+	// daemon still runs, and the address tells other daemons where to reply.
 	const peerPort = await parts.network.listen(settings.peers);
 	parts.state.peerAddress = settings.peers.advertise ?? `${settings.peers.host}:${peerPort}`;
 	const callersUrl = await parts.server.listen(settings.callers);
 	const administrationUrl = await parts.administration.listen(settings.administration);
 	await parts.membership.start();
-	followMembers(parts);
+	updateLimiterPeers(parts);
 	parts.follower.start();
 	const starting = startParts(parts);
 	const refresh = setInterval(parts.refreshEndpoints, refreshMs);
@@ -54,22 +54,23 @@
 }
 
 /**
- * A daemon without configuration can't tell whose key it sees, one without
- * shares would refuse rightful requests, and one that has asked no engine
- * places at random. The balancer is told to wait for all three.
+ * Reports ready to the load balancer once the daemon has the configuration, token
+ * shares and a first report of the engines. Without the configuration it can't
+ * identify keys, without shares it would refuse valid requests, and without
+ * engine reports it would place requests at random.
  */
 async function startParts(parts: Parts): Promise<void> {
-	// Where to find a workspace's shares is known only with its limits, so the
-	// limiter starts once a configuration is there, whatever its source.
+	// The location of a workspace's shares is known only with its limits, so the
+	// limiter starts once there is a configuration, whatever its source.
 	void untilTrue(() => parts.follower.current() !== undefined).then(parts.limiter.start);
 	const {timeToServeMs} = await parts.recovery.recover();
-	parts.log.info('Recovered.', {ms: Math.round(timeToServeMs)});
+	parts.log.info('Recovery is complete.', {ms: Math.round(timeToServeMs)});
 	parts.endpointWatch.start();
 	await parts.endpointWatch.sweep();
 	parts.refreshEndpoints();
 	parts.serviceLevels.start();
 	parts.upkeep.start();
-	parts.rollouts.start();
+	parts.dutyRunner.start();
 	void parts.leases.start();
 	parts.recovery.start();
 	parts.state.ready = true;
@@ -85,8 +86,8 @@
 async function stopParts(parts: Parts): Promise<void> {
 	parts.state.ready = false;
 	parts.membership.setPhase(Phase.LEAVING);
-	// The balancer takes a moment to see that this daemon is unready; what it
-	// still sends meanwhile is served.
+	// The load balancer takes a moment to notice that this daemon is unready;
+	// requests that it still sends meanwhile are served.
 	await delay(parts.settings.drainMs);
 	await parts.server.close();
 	await parts.serviceProxy.drain();
@@ -94,7 +95,7 @@
 	parts.limiter.close();
 	await parts.serviceLevels.stop();
 	await parts.upkeep.stop();
-	parts.rollouts.stop();
+	parts.dutyRunner.stop();
 	await parts.leases.release();
 	parts.leases.close();
 	parts.recovery.stop();
--- a/packages/daemon/src/lib/demo-traffic.ts
+++ b/packages/daemon/src/lib/demo-traffic.ts
@@ -1,7 +1,7 @@
-/** The requests of the demo: both users' services in small. */
+/** Requests of the demo: the services of both users on a small scale. */
 
-/** Text of about so many tokens, the same for the same seed. */
-function textOf(seed: string, tokens: number): string {
+/** Generates text of about the given number of tokens, at 4 characters each; equal seeds give equal text. */
+function generateText(seed: string, tokens: number): string {
 	let text = '';
 	for (let line = 0; text.length < tokens * 4; line++) {
 		text += `${seed} line ${line}: see the rules of this part. `;
@@ -10,7 +10,7 @@
 	return text;
 }
 
-/** One request of the demo. */
+/** A chat request on behalf of a workspace. */
 export type DemoRequest = {
 	workspace: string;
 	model: string;
@@ -22,7 +22,7 @@
 const childrenPerHouse = 8;
 const questionsPerRecord = 12;
 
-/** Certificates: each child's prompt is nested under its carnival and house. */
+/** Certificates: each child's prompt begins with the shared prompts of its carnival and its house. */
 export function certificateRequests(): DemoRequest[] {
 	const requests: DemoRequest[] = [];
 	for (let child = 0; child < childrenPerHouse; child++) {
@@ -32,8 +32,8 @@
 					workspace: 'school-1',
 					model: 'wordsmith',
 					messages: [
-						{role: 'system', content: textOf(`carnival ${carnival}`, 4096)},
-						{role: 'system', content: textOf(`house ${house}`, 2048)},
+						{role: 'system', content: generateText(`carnival ${carnival}`, 4096)},
+						{role: 'system', content: generateText(`house ${house}`, 2048)},
 						{role: 'user', content: `Draft the certificate of child ${child}.`},
 					],
 				});
@@ -44,7 +44,7 @@
 	return requests;
 }
 
-/** Transcripts: short questions about one long hearing record under standing rules. */
+/** Transcripts: short questions about a long hearing record, which follows shared standing rules. */
 export function transcriptRequests(): DemoRequest[] {
 	const requests: DemoRequest[] = [];
 	for (let question = 0; question < questionsPerRecord; question++) {
@@ -53,8 +53,8 @@
 				workspace: 'school-2',
 				model: 'shoki-lm',
 				messages: [
-					{role: 'system', content: textOf('standing rules', 3072)},
-					{role: 'system', content: textOf(`hearing ${record}`, 8192)},
+					{role: 'system', content: generateText('standing rules', 3072)},
+					{role: 'system', content: generateText(`hearing ${record}`, 8192)},
 					{role: 'user', content: `What is the fee of part ${question}?`},
 				],
 			});
--- a/packages/daemon/src/lib/embedded-fleet.ts
+++ b/packages/daemon/src/lib/embedded-fleet.ts
@@ -1,4 +1,4 @@
-/** A small fleet in one process: stand-ins, daemons and a document, for the demo and for tests. */
+/** A small fleet in one process for the demo and for tests: stand-ins, daemons and a configuration document. */
 import {createHash} from 'node:crypto';
 import {setTimeout as delay} from 'node:timers/promises';
 import {
@@ -10,22 +10,22 @@
 import {type Daemon, startDaemon} from './daemon.js';
 import {parseSettings, type settingsSchema} from './settings.js';
 
-/** A document before its defaults are filled in. */
+/** A configuration document before defaults are applied. */
 export type DocumentInput = z.input<typeof documentSchema>;
 
 /** Options of {@link startEmbeddedFleet}. */
 export type EmbeddedFleetOptions = {
-	/** Settings of each engine; one engine is started for each. */
+	/** Options of each engine stand-in; one is started per entry. */
 	engines: Array<Parameters<typeof startEngineStandin>[0]>;
-	/** Plain services to start; one endpoint each. */
+	/** Names of the plain services to start, each with one endpoint. */
 	services?: string[];
-	/** How many daemons to start. */
+	/** Number of daemons to start. */
 	daemons: number;
-	/** Settings that differ from the defaults. */
+	/** Settings of the daemons that override the defaults. */
 	settings?: Partial<z.input<typeof settingsSchema>>;
-	/** Milliseconds by which the platform's VM list lags behind the start of the daemons. */
+	/** Milliseconds between the start of the daemons and their appearance in the platform's VM list; 0 by default. */
 	listLagMs?: number;
-	/** Changes the document before it is accepted. */
+	/** Edits the document before it is first accepted. */
 	edit?: (document: DocumentInput) => void;
 };
 
@@ -35,19 +35,19 @@
 	engines: EngineStandin[];
 	services: ServiceStandin[];
 	daemons: Daemon[];
-	/** A key of each workspace, by its name. */
+	/** A valid key of each workspace, by the workspace's name. */
 	keys: Record<string, string>;
-	/** Puts a changed document in force. */
+	/** Edits the document and has it accepted as the next version. */
 	change: (edit: (document: DocumentInput) => void) => Promise<void>;
 	stop: () => Promise<void>;
 };
 
-/** Names of the workspaces that a fleet starts with. */
+/** Names of the workspaces in the document of a fleet. */
 export const embeddedWorkspaces = ['school-1', 'school-2'] as const;
 
 const dataCentre = 'hobart-a';
 
-/** Starts a fleet and resolves once every daemon may serve. */
+/** Starts a fleet and resolves once every daemon is ready. */
 export async function startEmbeddedFleet(options: EmbeddedFleetOptions): Promise<EmbeddedFleet> {
 	const platform = await startPlatformStandin();
 	const engines = await Promise.all(options.engines.map(async settings => startEngineStandin(settings)));
--- a/packages/daemon/src/lib/settings.ts
+++ b/packages/daemon/src/lib/settings.ts
@@ -12,7 +12,7 @@
 
 const ms = (description: string, fallback: number) => z.number().int().positive().default(fallback).describe(`${description} Milliseconds.`);
 
-/** The layout of a settings file. */
+/** Schema of a settings file. */
 export const settingsSchema = z.strictObject({
 	name: z.string().min(1).describe('Name of this daemon; that of its VM in the platform\'s list.'),
 	dataCentre: z.string().min(1).describe('Data centre of this VM.'),
@@ -69,11 +69,11 @@
 	logLevel: z.enum(['debug', 'info', 'warn', 'error']).default('info').describe('Least level that is logged.'),
 });
 
-/** Checked settings. */
+/** Validated settings. */
 export type Settings = z.infer<typeof settingsSchema>;
 
 /**
- * Checks settings.
+ * Validates settings.
  *
  * @throws {SettingsError} with the path of every wrong field.
  */
@@ -88,9 +88,9 @@
 }
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  *
- * @throws {SettingsError} when it can't be read, is no JSON, or has a wrong field.
+ * @throws {SettingsError} when it can't be read, is not valid JSON, or has a wrong field.
  */
 export async function readSettings(file: string): Promise<Settings> {
 	let text: string;
@@ -104,7 +104,7 @@
 	try {
 		input = JSON.parse(text);
 	} catch (error) {
-		throw new SettingsError(`${file} is no JSON: ${error instanceof Error ? error.message : ''}`, {cause: error});
+		throw new SettingsError(`${file} is not valid JSON: ${error instanceof Error ? error.message : ''}`, {cause: error});
 	}
 
 	return parseSettings(input, file);
--- a/packages/daemon/src/lib/wiring/duty-wiring.ts
+++ b/packages/daemon/src/lib/wiring/duty-wiring.ts
@@ -1,13 +1,13 @@
-/** Wires duties that one daemon holds at a time: rollouts, the upkeep of orders, alerts of burn. */
+/** Wires the duties that one daemon at a time holds by a lease: rollouts, deletion of expired orders, burn metrics. */
 import {createLeaseHolder, type LeaseHolder} from 'hickorywalk/leases.js';
 import {createBurnReport, reportBurnMetrics} from 'hickorywalk/observability.js';
 import {createRolloutRunner, type RolloutRunner} from 'hickorywalk/rollouts.js';
 import {liveNames} from './fleet-wiring.js';
-import {type Parts, type Rollouts} from './parts.js';
+import {type Parts, type DutyRunner} from './parts.js';
 
-const roundMs = 1000;
-const sweepMs = 60_000;
-const burnMs = 300_000;
+const rolloutTickMs = 1000;
+const orderSweepMs = 60_000;
+const burnReportMs = 300_000;
 const sweepDuty = 'orders-sweep';
 const burnDuty = 'burn-metrics';
 
@@ -23,13 +23,13 @@
 		leaseMs: settings.duties.leaseMs,
 		marginMs: settings.duties.marginMs,
 		onError(err) {
-			log.warn('The leases could not be kept up.', {err});
+			log.warn('Access to the lease table failed; it is retried.', {err});
 		},
 	});
 }
 
-/** Runs the rollout of each model service, and deletes old orders, where the lease is held. */
-export function wireRollouts(parts: Parts): Rollouts {
+/** Runs the rollout of each model service, deletes expired orders and reports burn metrics, each only while this daemon holds its lease. */
+export function wireDutyRunner(parts: Parts): DutyRunner {
 	const {leases, serviceProxy, log} = parts;
 	const runners = new Map<string, RolloutRunner>();
 	let timer: NodeJS.Timeout | undefined;
@@ -55,7 +55,7 @@
 		try {
 			await runner.tick();
 		} catch (error) {
-			log.warn('A rollout could not go on; it is tried again.', {service, err: error});
+			log.warn('A step of a rollout failed; it is retried.', {service, err: error});
 		}
 	};
 
@@ -67,11 +67,11 @@
 		try {
 			await serviceProxy.sweepExpiredOrders();
 		} catch (error) {
-			log.warn('Old orders could not be deleted; it is tried again.', {err: error});
+			log.warn('Expired orders could not be deleted; the deletion is retried.', {err: error});
 		}
 	};
 
-	const tellBurn = async () => {
+	const reportBurn = async () => {
 		const accepted = parts.follower.current();
 		if (leases.held(burnDuty) === undefined || accepted === undefined) {
 			return;
@@ -80,7 +80,7 @@
 		try {
 			reportBurnMetrics(await createBurnReport({objects: parts.platform.objects, ...accepted, log}), parts.metrics);
 		} catch (error) {
-			log.warn('The burn could not be worked out; it is tried again.', {err: error});
+			log.warn('The burn metrics could not be computed; the computation is retried.', {err: error});
 		}
 	};
 
@@ -89,12 +89,12 @@
 			leases.contend(sweepDuty);
 			leases.contend(burnDuty);
 			burnTimer ??= setInterval(() => {
-				void tellBurn();
-			}, burnMs);
-			timer ??= setInterval(runAll, roundMs);
+				void reportBurn();
+			}, burnReportMs);
+			timer ??= setInterval(runAll, rolloutTickMs);
 			sweepTimer ??= setInterval(() => {
 				void sweep();
-			}, sweepMs);
+			}, orderSweepMs);
 		},
 		stop() {
 			clearInterval(timer);
--- a/packages/daemon/src/lib/wiring/endpoint-wiring.ts
+++ b/packages/daemon/src/lib/wiring/endpoint-wiring.ts
@@ -1,4 +1,4 @@
-/** Wires what speaks to endpoints: placement, probes, plain services, queues. */
+/** Wires the parts that deal with endpoints: placement, load probes, plain services, queues. */
 import {type DocumentIndex, type Endpoint} from 'hickorywalk/configuration.js';
 import {
 	createEndpointPicker, createEndpointWatch, type EndpointPicker, type EndpointWatch,
@@ -22,12 +22,13 @@
 }
 
 /**
- * An endpoint gets no new work once its VM is leaving, or while it loads
- * weights. The placer is told only when that changed for some endpoint.
+ * An endpoint gets no new requests once its VM is leaving, or while it loads
+ * weights. The placer is updated only when the configuration, or this state of
+ * some endpoint, has changed.
  */
 export function wireRefreshEndpoints({configuration, membership, endpointWatch, placer}: Parts): Parts['refreshEndpoints'] {
-	let before: DocumentIndex | undefined;
-	let flagsBefore = '';
+	let previousIndex: DocumentIndex | undefined;
+	let previousFlags = '';
 	return () => {
 		const index = configuration();
 		if (index === undefined) {
@@ -44,9 +45,9 @@
 			});
 		}
 
-		if (index !== before || flags !== flagsBefore) {
-			before = index;
-			flagsBefore = flags;
+		if (index !== previousIndex || flags !== previousFlags) {
+			previousIndex = index;
+			previousFlags = flags;
 			placer.setEndpoints(endpoints);
 		}
 	};
@@ -74,7 +75,7 @@
 			placer.observe(endpoint, report);
 		},
 		onSilence(endpoint) {
-			log.debug('Endpoint did not tell its state.', {endpoint});
+			log.debug('Endpoint did not answer a load probe.', {endpoint});
 		},
 	});
 }
@@ -118,9 +119,10 @@
 }
 
 /**
- * Each daemon lets through its part of what a service runs well at once, and
- * somewhat more, since callers are not spread evenly. Beyond that the engines'
- * own queues would hide from this one whose turn it is.
+ * Limits each service's requests in flight to this daemon's even part of its
+ * slots, times `inFlightSlack`, since callers are not spread evenly over daemons.
+ * Further requests would wait in the engines' own queues, where the fair queue
+ * can't order them.
  */
 export function wireQueues({settings, configuration, membership}: Parts): Parts['queueOf'] {
 	const queues = new Map<string, FairQueue>();
--- a/packages/daemon/src/lib/wiring/fleet-wiring.ts
+++ b/packages/daemon/src/lib/wiring/fleet-wiring.ts
@@ -1,4 +1,4 @@
-/** Wires what the daemons agree on: links, membership, configuration, limits. */
+/** Wires the parts that coordinate daemons: peer links, membership, configuration, limits, recovery. */
 import {
 	type ConfigurationFollower, type ConfigurationStore, createConfigurationFollower, createConfigurationStore, createCurrentIndex,
 } from 'hickorywalk/configuration.js';
@@ -59,7 +59,7 @@
 		reach: () => parts.membership.reach(),
 		isolationLimitMs: parts.settings.isolationLimitMs,
 		onRefused(version, err) {
-			log.warn('A newer configuration is not in force here yet.', {version, err});
+			log.warn('A newer configuration version could not be put in force.', {version, err});
 		},
 	});
 	network.handle(follower.handlers);
@@ -71,7 +71,7 @@
 	return () => (follower.mayServe() ? index() : undefined);
 }
 
-/** The limiter follows the document's rates and the membership's live daemons. */
+/** The limiter takes rates from the document; {@link updateLimiterPeers} gives it the running daemons. */
 export function wireLimiter(parts: Parts): FleetTokenLimiter {
 	const {settings, incarnation, platform, network, follower, log} = parts;
 	const limiter = createTokenLimiter({
@@ -90,28 +90,28 @@
 	return limiter;
 }
 
-/** Tells the limiter which daemons run, at each change of membership. */
-export function followMembers({membership, limiter, settings}: Parts): void {
-	const tell = () => {
+/** Gives the limiter the running daemons, now and at each change of membership. */
+export function updateLimiterPeers({membership, limiter, settings}: Parts): void {
+	const setRunningPeers = () => {
 		const running = membership.members().filter(member => member.status === 'live' || member.status === 'starting');
 		limiter.setPeers(running.filter(member => member.name !== settings.name));
 	};
 
-	membership.subscribe(tell);
-	tell();
+	membership.subscribe(setRunningPeers);
+	setRunningPeers();
 }
 
-/** Prefixes that a snapshot passes on; some 100 bytes each. */
-const mostSnapshotPrefixes = 4096;
+/** Largest number of prefixes in a snapshot, at about 100 bytes each. */
+const maxSnapshotPrefixes = 4096;
 
 /**
- * A daemon that restarts takes what its peers know: the configuration, and
- * where prefixes are cached. The configuration has to come first, since
- * prefixes are remembered by endpoint.
+ * A daemon that restarts imports the state of its peers: the configuration, and
+ * where prefixes are cached. The configuration has to be imported first, since
+ * cached prefixes are recorded by endpoint.
  */
 export function wireRecovery(parts: Parts): Recovery {
 	const {platform, network, membership, follower, placer, log, settings} = parts;
-	const hearsIssuers = createIssuerCheck(parts);
+	const hasHeardIssuers = createIssuerCheck(parts);
 	const recovery = createRecovery({
 		objects: platform.objects,
 		send: network.send,
@@ -120,12 +120,12 @@
 			createConfigurationPart(follower),
 			{
 				name: 'routing',
-				exportContent: () => placer.snapshot(mostSnapshotPrefixes),
+				exportContent: () => placer.snapshot(maxSnapshotPrefixes),
 				importContent(content) {
-					// Not before the configuration may be served by either: until then
-					// the placer has no endpoints, and would drop all it is told.
+					// Also undefined while this daemon may not serve by it: until then the
+					// placer has no endpoints, and would drop the whole snapshot.
 					if (parts.configuration() === undefined) {
-						throw new RecoveryPartError('What is cached where can\'t be taken over before the configuration. It is asked for again.');
+						throw new RecoveryPartError('The cached prefixes can\'t be imported before the configuration is in force. They are requested again.');
 					}
 
 					parts.refreshEndpoints();
@@ -134,11 +134,11 @@
 			},
 		],
 		fewestWarmUpMs: settings.fewestWarmUpMs,
-		canServe: () => follower.mayServe() && parts.limiter.isReady() && hearsIssuers(),
-		// More than one writer only wastes work, so the first by name is enough.
+		canServe: () => follower.mayServe() && parts.limiter.isReady() && hasHeardIssuers(),
+		// A second writer would only duplicate work, so choosing the first live name is enough.
 		holdsDuty: () => liveNames(parts)[0] === settings.name,
 		onFault(err) {
-			log.warn('A part of recovery did not come through.', {err});
+			log.warn('A part of the recovery state could not be read, imported or written.', {err});
 		},
 	});
 	network.handle(recovery.handlers);
@@ -146,11 +146,11 @@
 }
 
 /**
- * A daemon that knows who issues shares but can't reach them has no token to
- * give: it would refuse every rightful request with 429. The table names the
- * issuers at once, while the VM list that says where they are lags, so the
- * daemon stays unready until it has heard all of them. One that stays silent
- * keeps it out no longer than `issuerWaitMs`, as long as another is heard.
+ * A daemon that knows which daemons issue token shares, but can't reach them, has
+ * no tokens: it would refuse every valid request with 429. The table names the
+ * issuers at once, while the VM list with their addresses lags behind, so the
+ * daemon stays unready until it has heard from all of them. After `issuerWaitMs`
+ * it no longer waits for silent issuers, provided that it has heard from one.
  */
 function createIssuerCheck({limiter, membership, settings}: Parts): () => boolean {
 	const startedAt = performance.now();
@@ -166,7 +166,7 @@
 	};
 }
 
-/** Names of the daemons that are thought to serve, in order. */
+/** Names of the daemons that the membership regards as live, sorted. */
 export function liveNames({membership}: Parts): string[] {
 	return membership.members().filter(member => member.status === 'live').map(member => member.name).toSorted();
 }
--- a/packages/daemon/src/lib/wiring/gateway-wiring.ts
+++ b/packages/daemon/src/lib/wiring/gateway-wiring.ts
@@ -1,4 +1,4 @@
-/** Wires the servers: the gateway for callers and the administration for operators. */
+/** Wires the HTTP servers: the gateway for callers and the administration API for operators. */
 import {
 	type AdministrationServer, createAdministrationServer, type FleetStatus,
 } from 'hickorywalk/administration.js';
@@ -11,8 +11,8 @@
 import {type Parts} from './parts.js';
 import {addTraceRoute, tapPlacer} from './trace-wiring.js';
 
-/** How each end of a request counts against objectives; ends that are the caller's own fault do not count. */
-const levelOfResult: Record<string, ServiceLevelEvent['result'] | undefined> = {
+/** How each result of a request counts against objectives; results that are the caller's fault are not listed and don't count. */
+const serviceLevelResults: Record<string, ServiceLevelEvent['result'] | undefined> = {
 	answered: 'answered',
 	gone: 'cancelled',
 	rate_limited: 'refused_rightly',
@@ -22,7 +22,7 @@
 	engine_failed: 'failed',
 	deadline_exceeded: 'failed',
 	internal_error: 'failed',
-	// Ends of calls to plain services.
+	// Results of calls to plain services.
 	replayed: 'answered',
 	not_run: 'refused_wrongfully',
 	store_unavailable: 'refused_wrongfully',
@@ -44,8 +44,8 @@
 		queueOf: parts.queueOf,
 		bounds: settings.gateway,
 		onRecord(record) {
-			measure(metrics, record);
-			count(serviceLevels, record, record.result, record.firstTokenMs);
+			recordMetrics(metrics, record);
+			recordServiceLevel(serviceLevels, record, record.result, record.firstTokenMs);
 		},
 		onEndpointFailure(requestId, endpoint, err) {
 			log.warn('Endpoint failed a request.', {requestId, endpoint, err});
@@ -53,10 +53,10 @@
 	});
 }
 
-type Called = {workspace: string; service: string};
+type CalledService = {workspace: string; service: string};
 
-function count(levels: Parts['serviceLevels'], {workspace, service}: Called, ended: string, firstTokenMs?: number): void {
-	const result = levelOfResult[ended];
+function recordServiceLevel(levels: Parts['serviceLevels'], {workspace, service}: CalledService, ended: string, firstTokenMs?: number): void {
+	const result = serviceLevelResults[ended];
 	if (result !== undefined && workspace !== '' && service !== '') {
 		levels.record({
 			workspace, service, result, ...(firstTokenMs !== undefined && {firstTokenMs}),
@@ -64,7 +64,7 @@
 	}
 }
 
-function measure(metrics: Metrics, {workspace, service, result, durationMs, firstTokenMs, usage}: RequestRecord): void {
+function recordMetrics(metrics: Metrics, {workspace, service, result, durationMs, firstTokenMs, usage}: RequestRecord): void {
 	const tags = {workspace, service, result};
 	metrics.count('requests', 1, tags);
 	metrics.timing('request_ms', durationMs, tags);
@@ -82,7 +82,7 @@
 export function wireServer(parts: Parts): GatewayServer {
 	const {settings, configuration, keyRing, models, state, log, metrics, serviceLevels} = parts;
 	const onFault = (err: unknown) => {
-		log.error('A request met a fault of the router.', {err});
+		log.error('A request failed with an internal error of the router.', {err});
 	};
 
 	return createGatewayServer({
@@ -101,7 +101,7 @@
 				deadlineMs: settings.gateway.deadlineMs,
 				onEnd(workspace, service, result, durationMs) {
 					metrics.timing('service_call_ms', durationMs, {workspace, service, result});
-					count(serviceLevels, {workspace, service}, result);
+					recordServiceLevel(serviceLevels, {workspace, service}, result);
 				},
 				onFault,
 			});
@@ -118,7 +118,7 @@
 			...configurationStore,
 			async propose(document, proposal) {
 				const accepted = await configurationStore.propose(document, proposal);
-				// The daemon that accepted a version is the first to tell it.
+				// The daemon that accepted a version is the first to announce it.
 				await follower.refresh();
 				return accepted;
 			},
@@ -139,7 +139,7 @@
 				});
 			},
 			async renderHtml(report) {
-				// The plots' library is large, and few daemons ever draw a page.
+				// Imported on use: the plotting library is large, and few daemons ever render a page.
 				const {renderBurnPage} = await import('@hickorywalk/traces/burn.js');
 				return renderBurnPage(report);
 			},
@@ -161,8 +161,8 @@
 }
 
 const msPerSecond = 1000;
-/** Stands for "never known" where the status has a number. */
-const longestAgeSeconds = 1e9;
+/** Largest age that the status reports; it also stands for a version that was never known, whose age is not a finite number. */
+const maxVersionAgeSeconds = 1e9;
 
 function describeStatus(parts: Parts): FleetStatus {
 	const {settings, state, follower, membership, endpointWatch} = parts;
@@ -171,7 +171,7 @@
 		dataCentre: settings.dataCentre,
 		ready: state.ready,
 		version: follower.current()?.version ?? 0,
-		versionAgeSeconds: Math.min(longestAgeSeconds, follower.freshnessAgeMs() / msPerSecond),
+		versionAgeSeconds: Math.min(maxVersionAgeSeconds, follower.freshnessAgeMs() / msPerSecond),
 		vms: membership.members().map(({name, dataCentre, status, configurationVersion, silentMs}) => ({
 			name, dataCentre, state: status, version: configurationVersion, silentSeconds: Number.isFinite(silentMs) ? silentMs / msPerSecond : null,
 		})),
--- a/packages/daemon/src/lib/wiring/parts.ts
+++ b/packages/daemon/src/lib/wiring/parts.ts
@@ -1,4 +1,4 @@
-/** Every part of a daemon, by the name under which others ask for it. */
+/** The parts of a daemon, by the names under which the container resolves them. */
 import {type AdministrationServer} from 'hickorywalk/administration.js';
 import {type ConfigurationFollower, type ConfigurationStore, type DocumentIndex} from 'hickorywalk/configuration.js';
 import {
@@ -22,28 +22,28 @@
 import {type LearningPlacer} from 'hickorywalk/routing.js';
 import {type Settings} from '../settings.js';
 
-/** The duties of one daemon, of which it may hold some. */
-export type Rollouts = {
+/** Runs the duties whose leases this daemon holds. */
+export type DutyRunner = {
 	start: () => void;
 	stop: () => void;
 };
 
-/** Hears of each answered request; `startedAt` is on the monotonic clock. */
+/** Called for each answered request; `startedAt` is a time of `performance.now()`. */
 export type TraceTap = (request: PlacementRequest, startedAt: number, outputTokens: number) => void;
 
-/** What changes as a daemon starts and stops. */
+/** State that changes as a daemon starts and stops. */
 export type DaemonState = {
-	/** Whether the balancer should send requests here. */
+	/** Whether the load balancer should send requests to this daemon. */
 	ready: boolean;
-	/** Where peers reach this daemon; known once its port is bound. */
+	/** Host and port at which peers reach this daemon; empty until its port is bound. */
 	peerAddress: string;
 };
 
-/** The parts. Those that need each other ask when they act, not when they are made. */
+/** All parts. Parts that depend on each other resolve the other one on use, not at creation, since the container can't resolve cycles. */
 export type Parts = {
 	settings: Settings;
 	state: DaemonState;
-	/** Process of this daemon; grows with each start. */
+	/** Identifies the process of this daemon; increases with each start. */
 	incarnation: bigint;
 	log: Log;
 	metrics: Metrics;
@@ -62,7 +62,7 @@
 	engines: EngineClient;
 	engineProbe: EngineProbe;
 	endpointWatch: EndpointWatch;
-	/** Tells the placer which endpoints may get new work now. */
+	/** Tells the placer which endpoints may get new requests now. */
 	refreshEndpoints: () => void;
 	picker: EndpointPicker;
 	serviceProxy: ServiceProxy;
@@ -72,8 +72,8 @@
 	recovery: Recovery;
 	leases: LeaseHolder;
 	engineControl: ReturnType<typeof createHttpEngineControl>;
-	rollouts: Rollouts;
-	/** Recordings under way. */
+	dutyRunner: DutyRunner;
+	/** One tap per trace recording in progress. */
 	traceTaps: Set<TraceTap>;
 	models: ModelGateway;
 	server: GatewayServer;
--- a/packages/daemon/src/lib/wiring/trace-wiring.ts
+++ b/packages/daemon/src/lib/wiring/trace-wiring.ts
@@ -1,4 +1,4 @@
-/** Records requests of a serving daemon as a trace, on order of an operator. */
+/** Records requests of a running daemon as a trace, when an operator asks for it. */
 import {randomBytes} from 'node:crypto';
 import {type FastifyInstance} from 'fastify';
 import {createOperatorGate, RequestInvalidError} from 'hickorywalk/administration.js';
@@ -8,7 +8,7 @@
 import {z} from 'zod';
 import {type Parts, type TraceTap} from './parts.js';
 
-/** Passes a placer's calls on, and tells taps of answered requests. */
+/** Wraps a placer so that each answered request is also passed to the taps. */
 export function tapPlacer(placer: Placer, taps: ReadonlySet<TraceTap>): Placer {
 	const startedAt = new WeakMap<Placement, number>();
 	return {
@@ -27,20 +27,20 @@
 	};
 }
 
-const longestSeconds = 3600;
-const querySchema = z.object({seconds: z.coerce.number().positive().max(longestSeconds)});
+const maxRecordingSeconds = 3600;
+const querySchema = z.object({seconds: z.coerce.number().positive().max(maxRecordingSeconds)});
 const msPerSecond = 1000;
 const secretBytes = 32;
-/** Bytes that may wait for a slow reader before a recording ends early. */
-const mostWaitingBytes = 8 * 1024 * 1024;
+/** Bytes that may be buffered for a slow reader before the recording is aborted. */
+const maxBufferedBytes = 8 * 1024 * 1024;
 const statusOk = 200;
 
-/** What a replay assumes of endpoints, since a daemon knows neither their speed nor their memory. */
+/** Values that a trace assumes for each endpoint, since a daemon knows neither the speed nor the memory of endpoints. */
 const assumedEndpoint = {
 	prefillTokensPerSecond: 10_000, decodeMsPerToken: 20, batch: 8, cachePieces: 512,
 } as const;
 
-/** Adds the route by which operators record a trace. It holds neither text nor keys. */
+/** Adds the route by which operators record a trace. A trace holds neither prompt text nor keys. */
 export function addTraceRoute(app: FastifyInstance, parts: Parts): void {
 	const gate = createOperatorGate(parts.settings.operators);
 	app.get('/v1/trace', async (req, reply) => {
@@ -54,13 +54,13 @@
 		void reply.hijack();
 		const write = (line: unknown) => {
 			reply.raw.write(`${JSON.stringify(line)}\n`);
-			if (reply.raw.writableLength > mostWaitingBytes) {
+			if (reply.raw.writableLength > maxBufferedBytes) {
 				reply.raw.destroy();
 			}
 		};
 
 		reply.raw.writeHead(statusOk, {'content-type': 'application/x-ndjson'});
-		write(headerOf(parts));
+		write(createTraceHeader(parts));
 		const recorder = createTraceRecorder({pieceTokens: pieceTokensOf(parts), secret: randomBytes(secretBytes), write});
 		parts.traceTaps.add(recorder.record);
 		const end = () => {
@@ -85,7 +85,7 @@
 	return 1024;
 }
 
-function headerOf(parts: Parts) {
+function createTraceHeader(parts: Parts) {
 	const endpoints = parts.configuration()?.accepted.document.endpoints ?? [];
 	return {
 		kind: 'header',
--- a/packages/daemon/src/test/bad-input.test.ts
+++ b/packages/daemon/src/test/bad-input.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {type EmbeddedFleet, startEmbeddedFleet} from '../lib/embedded-fleet.js';
 
-describe('bad input', () => {
+describe('invalid input', () => {
 	let fleet: EmbeddedFleet;
 	before(async () => {
 		fleet = await startEmbeddedFleet({
@@ -26,7 +26,7 @@
 	const good = JSON.stringify({model: 'wordsmith', max_tokens: 2, messages: [message]});
 
 	const cases: Array<[string, () => Promise<Response>, number, string]> = [
-		['a body that is no JSON', async () => send('{"model":'), 400, 'invalid_request'],
+		['a body that is not valid JSON', async () => send('{"model":'), 400, 'invalid_request'],
 		['an empty body', async () => send(''), 400, 'invalid_request'],
 		['a body of another type', async () => send('model', {'content-type': 'text/plain'}), 400, 'invalid_request'],
 		['a field of the wrong type', async () => send(JSON.stringify({model: 'wordsmith', messages: 3})), 400, 'invalid_request'],
@@ -36,7 +36,7 @@
 		['an unknown adapter', async () => send(JSON.stringify({model: 'wordsmith:none', messages: [message]})), 404, 'model_not_found'],
 		['a wrong key', async () => send(good, {authorization: 'Bearer wrong'}), 401, 'invalid_api_key'],
 		['a missing key', async () => send(good, {authorization: ''}), 401, 'invalid_api_key'],
-		['a path that leads nowhere', async () => fetch(`${fleet.daemons[0].callersUrl}/nowhere`), 404, 'service_not_found'],
+		['an unknown path', async () => fetch(`${fleet.daemons[0].callersUrl}/nowhere`), 404, 'service_not_found'],
 	];
 
 	for (const [name, call, status, code] of cases) {
@@ -50,22 +50,22 @@
 		});
 	}
 
-	// The caller is told what to change, and no time to come back: the request is
-	// larger than the whole burst, so it would never be admitted.
-	it('answers a request beyond the whole burst with 400 and without Retry-After', async () => {
+	// A request larger than the whole burst would never be admitted, so the caller
+	// is told what to change and gets no time for a retry.
+	it('answers a request larger than the burst with 400 and without Retry-After', async () => {
 		const res = await send(JSON.stringify({model: 'wordsmith', max_tokens: 400, messages: [message]}), {authorization: `Bearer ${fleet.keys['school-2']}`});
 		const {error} = await res.json() as {error: {code: string}};
 		assert.deepEqual([res.status, error.code, res.headers.get('retry-after')], [400, 'burst_exceeded', null]);
 	});
 
-	it('closes on headers that are too large, and goes on', async () => {
+	it('answers headers that are too large with 431 and keeps serving', async () => {
 		const res = await send(good, {'x-filler': 'a'.repeat(20_000)});
 		assert.equal(res.status, 431);
 		const after = await send(good);
 		assert.equal(after.status, 200);
 	});
 
-	it('survives bytes that are no HTTP', async () => {
+	it('keeps serving after bytes that are not HTTP', async () => {
 		const {hostname, port} = new URL(fleet.daemons[0].callersUrl);
 		await fc.assert(fc.asyncProperty(fc.uint8Array({minLength: 1, maxLength: 300}), async bytes => {
 			await new Promise<void>(resolve => {
@@ -85,7 +85,7 @@
 		assert.equal(after.status, 200);
 	});
 
-	it('answers any JSON with a typed error or an answer, never with a fault of its own', async () => {
+	it('answers arbitrary JSON with 400 or 404, never with an internal error', async () => {
 		await fc.assert(fc.asyncProperty(fc.json(), async json => {
 			const res = await send(json);
 			assert.include([400, 404], res.status);
--- a/packages/daemon/src/test/command-line.test.ts
+++ b/packages/daemon/src/test/command-line.test.ts
@@ -12,10 +12,10 @@
 const commandLine = fileURLToPath(new URL('../hickorywalk.js', import.meta.url));
 const operatorKey = 'hw-operator-key-of-ana';
 
-type Ended = {code: number; out: string; err: string};
+type CommandResult = {code: number; out: string; err: string};
 
-/** Runs the command line to its end. */
-async function run(...args: string[]): Promise<Ended> {
+/** Runs the command line and resolves once it has exited. */
+async function run(...args: string[]): Promise<CommandResult> {
 	return new Promise(resolve => {
 		execFile(process.execPath, [commandLine, ...args], {env: {...process.env, [operatorKeyVariable]: operatorKey}}, (error, out, err) => {
 			resolve({code: typeof error?.code === 'number' ? error.code : 0, out, err});
@@ -49,7 +49,7 @@
 		return file;
 	};
 
-	it('shows the document, takes a changed one, and refuses one made from an old version', async () => {
+	it('shows the document, accepts a change, and refuses a change based on an old version', async () => {
 		const shown = await run('config', 'show', ...admin);
 		assert.equal(shown.code, 0, shown.err);
 		assert.match(shown.err, /Version 1\./v);
@@ -66,7 +66,7 @@
 		assert.match(late.err, /^administration_refused: 412 configuration_conflict/v);
 	});
 
-	it('names the wrong field of a document and of settings', async () => {
+	it('names the invalid field of a document and of settings', async () => {
 		const file = await fileOf('broken.json', '{"layout": 1, "dataCentres": [{"name": "Hobart"}], "workspaces": [], "services": [], "endpoints": []}');
 		const checked = await run('config', 'check', file);
 		assert.equal(checked.code, 1);
@@ -77,7 +77,7 @@
 		assert.include(served.err, 'fleetSecret');
 	});
 
-	it('gives a key that works and withdraws it', async () => {
+	it('creates a key that works and withdraws it', async () => {
 		const created = await run('keys', 'create', 'school-1', 'second', ...admin);
 		assert.equal(created.code, 0, created.err);
 		const ask = async () => {
@@ -86,7 +86,7 @@
 		};
 
 		while (await ask() !== 200) {
-			// In force within seconds.
+			// The key is in force within seconds.
 		}
 
 		const withdrawn = await run('keys', 'withdraw', 'school-1', 'second', ...admin);
@@ -103,7 +103,7 @@
 		assert.match(report.out, /^<!doctype html>/v);
 	});
 
-	it('records a trace without text or keys, which a replay takes', async () => {
+	it('records a replayable trace that holds neither prompt text nor keys', async () => {
 		const recording = run('trace', 'record', '--seconds', '4', ...admin);
 		const ended = new AbortController();
 		void recording.then(() => {
@@ -128,7 +128,7 @@
 		assert.include(replayed.out, '"hit_rate"');
 	});
 
-	it('says what to do when it is called wrongly', async () => {
+	it('names the option to use after a usage error or when no daemon is reachable', async () => {
 		const unnamed = await run('nothing');
 		assert.equal(unnamed.code, 2);
 		assert.include(unnamed.err, '--help');
--- a/packages/daemon/src/test/processes.ts
+++ b/packages/daemon/src/test/processes.ts
@@ -1,4 +1,4 @@
-/** Starts the command line as processes of their own, for tests from end to end. */
+/** Starts commands as separate processes, for end-to-end tests. */
 import {type ChildProcess, spawn} from 'node:child_process';
 import {once} from 'node:events';
 import {createInterface} from 'node:readline';
@@ -7,17 +7,17 @@
 
 const commandLine = fileURLToPath(new URL('../hickorywalk.js', import.meta.url));
 
-/** A started process that printed where it listens. */
+/** A started process that has printed the address it listens on. */
 export type StartedProcess = {
 	url: string;
-	/** Where a daemon serves peers; empty for others. */
+	/** Host and port at which a daemon serves peers; empty for other processes. */
 	peers: string;
-	/** Where a daemon serves operators; empty for others. */
+	/** Base URL at which a daemon serves operators; empty for other processes. */
 	administration: string;
 	child: ChildProcess;
-	/** Ends it as an operator would, and resolves to its exit code. */
+	/** Sends SIGTERM, as an operator would, and resolves to the exit code. */
 	stop: () => Promise<number | null>;
-	/** Ends it without a word, as a lost VM does. */
+	/** Sends SIGKILL, which has the same effect as the loss of the VM. */
 	kill: () => Promise<void>;
 };
 
@@ -47,5 +47,5 @@
 		}
 	}
 
-	throw new Error(`hickorywalk ${args.join(' ')} ended before it listened.`);
+	throw new Error(`hickorywalk ${args.join(' ')} exited before it listened.`);
 }
--- a/packages/daemon/src/test/promises.test.ts
+++ b/packages/daemon/src/test/promises.test.ts
@@ -5,7 +5,7 @@
 
 const message = {role: 'user', content: 'A short question.'};
 
-/** Asks through one daemon and resolves to the status, with the body read. */
+/** Sends a request through one daemon, reads the body and resolves to the status. */
 async function ask(fleet: EmbeddedFleet, daemon: number, agent?: Agent): Promise<number> {
 	const res = await request(new URL('/v1/chat/completions', fleet.daemons[daemon].callersUrl), {
 		method: 'POST',
@@ -17,23 +17,23 @@
 	return res.statusCode;
 }
 
-describe('promises, over whole daemons', () => {
+describe('service guarantees, with complete daemons', () => {
 	let fleet: EmbeddedFleet;
 	afterEach(async () => fleet.stop());
 
-	// Callers get answers from a daemon as soon as it says that it is ready. The
-	// table names the issuer of shares at once, the VM list says only later where
-	// that one is; ready before then, the daemon refused rightful requests.
-	it('is not ready before it can reach whoever issues its shares', async () => {
+	// The table names the issuer of token shares at once, but the VM list gives its
+	// address only later. A daemon that reported ready before then refused valid
+	// requests.
+	it('is not ready before it can reach the issuer of its token shares', async () => {
 		fleet = await startEmbeddedFleet({engines: [{}], daemons: 2, listLagMs: 1500});
 		assert.equal(await ask(fleet, 0), 200);
 		assert.equal(await ask(fleet, 1), 200);
 	});
 
-	// The caller holds its connection open. The operator withdraws the key; the
-	// next requests on that same connection are refused with 401 as soon as the
-	// daemon has the new version, since each request is checked anew.
-	it('refuses a withdrawn key on a connection held open since before', async () => {
+	// The key is withdrawn while the caller keeps its connection open. Each request
+	// is checked anew, so requests on that connection get 401 as soon as the daemon
+	// has the new version.
+	it('refuses a withdrawn key on a connection opened before the withdrawal', async () => {
 		fleet = await startEmbeddedFleet({engines: [{}], daemons: 2});
 		const agent = new Agent({connections: 1, keepAliveTimeout: 60_000});
 		for (const daemon of fleet.daemons.keys()) {
@@ -52,9 +52,9 @@
 		await agent.close();
 	});
 
-	// The caller sees its whole stream, though the router is told to stop in the
-	// middle of it: unready first, then what is under way ends, then the exit.
-	it('ends every stream before a planned stop is over', async () => {
+	// The router is stopped in the middle of a stream. It reports unready, completes
+	// the requests in progress and then exits, so the caller gets the whole stream.
+	it('completes every stream before a planned stop is over', async () => {
 		fleet = await startEmbeddedFleet({engines: [{decodeMs: 5}], daemons: 2});
 		const url = fleet.daemons[0].callersUrl;
 		const res = await request(new URL('/v1/chat/completions', url), {
@@ -77,9 +77,9 @@
 		fleet.daemons.shift();
 	});
 
-	// Callers notice nothing. The platform says that an endpoint's VM is leaving;
-	// once a daemon has heard of it, the endpoint gets no request any more.
-	it('gives a leaving endpoint no new work', async () => {
+	// The platform reports that an endpoint's VM is leaving. Once the daemon knows,
+	// the endpoint gets no more requests; callers notice nothing.
+	it('sends no new requests to a leaving endpoint', async () => {
 		fleet = await startEmbeddedFleet({engines: [{}, {}], daemons: 1});
 		const {vms} = await fleet.platform.memory.vms.read();
 		fleet.platform.memory.setVms(vms.map(vm => (vm.name === 'vm-wordsmith-0' ? {...vm, state: 'leaving'} : vm)));
@@ -93,10 +93,10 @@
 		}
 	});
 
-	// The caller gets an answer. Both engines went over to new weights since they
-	// were last asked, so the version that is chosen is gone; each attempt is
-	// refused, and the request then asks for the version of the document.
-	it('answers though all replicas changed their weights unseen', async () => {
+	// Both engines have loaded new weights since their last load probe, so the
+	// chosen version is gone. Each attempt is refused; the request then asks for the
+	// document's version and is answered.
+	it('answers when all replicas changed weights since their last load probe', async () => {
 		fleet = await startEmbeddedFleet({engines: [{loadMs: 0}, {loadMs: 0}], daemons: 1, settings: {engines: {probeMs: 60_000}}});
 		await fleet.change(document => {
 			document.services = document.services.map(service => (service.kind === 'model' ? {...service, version: 'w2'} : service));
@@ -115,7 +115,7 @@
 			}
 		}
 
-		// The document's new version may come into force a moment later.
+		// The new document may take a moment to come into force.
 		let status = await ask(fleet, 0);
 		while (status === 503) {
 			await delay(50);
@@ -125,9 +125,10 @@
 		assert.equal(status, 200);
 	});
 
-	// Callers get answers all the while. An operator asks for new weights; one
-	// daemon takes the duty, loads engine after engine, and requests move over.
-	it('brings endpoints to new weights while it serves', async () => {
+	// An operator asks for new weights. One daemon takes the rollout duty and loads
+	// one engine after another; requests move to the loaded engines, and callers get
+	// answers throughout.
+	it('rolls out new weights while it serves requests', async () => {
 		fleet = await startEmbeddedFleet({
 			engines: [{loadMs: 100}, {loadMs: 100}, {loadMs: 100}],
 			daemons: 2,
@@ -149,9 +150,9 @@
 		assert.equal(await ask(fleet, 0), 200);
 	});
 
-	// Callers get answers all the while. The document asks for weights that no
-	// replica has loaded yet, so requests go on to the ones that are there.
-	it('serves the old weights until a replica has the new ones', async () => {
+	// The document asks for weights that no replica has loaded yet. Requests still go
+	// to the replicas with the old weights, and callers get answers throughout.
+	it('serves the old weights until a replica has loaded the new ones', async () => {
 		fleet = await startEmbeddedFleet({engines: [{}, {}], daemons: 1});
 		await fleet.change(document => {
 			document.services = document.services.map(service => (service.kind === 'model' ? {...service, version: 'w2'} : service));
--- a/packages/daemon/src/test/streams.test.ts
+++ b/packages/daemon/src/test/streams.test.ts
@@ -8,7 +8,7 @@
 
 type Streamed = {words: string[]; ids: number[]; ended: boolean; errorCode: string | undefined};
 
-/** Streams one answer and keeps all that came. */
+/** Streams one answer and collects its words, event ids and end. */
 async function streamOnce(fleet: EmbeddedFleet, tokens: number, onWord?: (count: number) => void): Promise<Streamed> {
 	const res = await post(fleet, {
 		model: 'wordsmith', stream: true, max_tokens: tokens, messages: [{role: 'user', content}],
@@ -60,10 +60,10 @@
 	let fleet: EmbeddedFleet;
 	afterEach(async () => fleet.stop());
 
-	// The caller sees one stream without a seam. The engine dies after 7 of 20
-	// tokens; the router goes on at position 7 on the other replica, which dies
-	// there too, and then on the first one, which is back with the same version.
-	it('goes on after two engine crashes, each token once and in order', async () => {
+	// The engine crashes after 7 of 20 tokens. The router resumes at position 7 on
+	// the other replica, which crashes there too, and then on the first one, which is
+	// back with the same version. The caller sees one uninterrupted stream.
+	it('resumes after two engine crashes, with each token once and in order', async () => {
 		fleet = await startEmbeddedFleet({engines: [{}, {}], daemons: 1});
 		for (const engine of fleet.engines) {
 			engine.fault({kind: 'crash-after', tokens: 7});
@@ -75,10 +75,10 @@
 		assert.isTrue(streamed.ended);
 	});
 
-	// The caller sees a pause, then the rest. The connection to the engine
-	// stays open but nothing comes through it any more, while new connections
-	// work; only the lack of events can tell, so the router resumes elsewhere.
-	it('goes on when a connection goes silent for good', async () => {
+	// The connection to the engine stays open but delivers nothing more, while new
+	// connections work. Only the lack of events shows it, so the router resumes on
+	// another connection; the caller sees a pause, then the rest.
+	it('resumes when an open connection delivers nothing more', async () => {
 		fleet = await startEmbeddedFleet({engines: [{}, {}], daemons: 1, settings: {engines: {silenceMs: 150}}});
 		let silenced = false;
 		const streamed = await streamOnce(fleet, 20, count => {
@@ -93,9 +93,9 @@
 		assert.isTrue(streamed.ended);
 	});
 
-	// The caller sees an error event and no end mark. The only replica that is
-	// left runs other weights, so going on there would join two answers.
-	it('ends with an error event where no replica of the same version is left', async () => {
+	// The only replica left runs other weights, so resuming there would join two
+	// different answers. The caller gets an error event and no `[DONE]`.
+	it('ends with an error event when no replica of the same version is left', async () => {
 		fleet = await startEmbeddedFleet({engines: [{decodeMs: 5}, {version: 'w2'}], daemons: 1});
 		let closing: Promise<void> | undefined;
 		const streamed = await streamOnce(fleet, 200, count => {
@@ -109,9 +109,9 @@
 		assert.isFalse(streamed.ended);
 	});
 
-	// The caller sees its own answer. The first engine's answer carries another
-	// request's id; it is dropped with its connection and asked for again.
-	it('drops an answer that is another request\'s', async () => {
+	// The first answer of an engine carries another request's id. The router drops
+	// it, closes its connection and asks again, so the caller gets its own answer.
+	it('drops an answer that belongs to another request', async () => {
 		fleet = await startEmbeddedFleet({engines: [{}, {}], daemons: 1});
 		fleet.engines[0].fault({kind: 'cross', count: 1});
 		fleet.engines[1].fault({kind: 'cross', count: 1});
@@ -121,9 +121,10 @@
 		assert.equal(answer.id, `chatcmpl-${res.headers.get('x-request-id')}`);
 	});
 
-	// The caller closes its connection after a few tokens; the engine would go
-	// on for nobody, so its connection is closed too and it cancels the work.
-	it('cancels the engine\'s work when the caller goes away', async () => {
+	// The caller closes its connection after a few tokens. The engine would generate
+	// tokens that nobody reads, so the router closes the engine's connection too and
+	// the engine cancels the work.
+	it('cancels the engine\'s work when the caller disconnects', async () => {
 		fleet = await startEmbeddedFleet({engines: [{decodeMs: 5}], daemons: 1});
 		const abort = new AbortController();
 		const res = await post(fleet, {
@@ -138,7 +139,7 @@
 		assert.equal(fleet.engines[0].cancelled.size, 1);
 	});
 
-	it('shows no engine the key', async () => {
+	it('doesn\'t forward the caller\'s key to engines', async () => {
 		fleet = await startEmbeddedFleet({engines: [{}], daemons: 1});
 		await streamOnce(fleet, 2);
 		assert.notInclude(JSON.stringify(fleet.engines[0].seenHeaders), fleet.keys['school-1']);
--- a/packages/daemon/src/test/whole-path.test.ts
+++ b/packages/daemon/src/test/whole-path.test.ts
@@ -22,7 +22,7 @@
 	}
 }
 
-describe('the whole path, each part as its own process', () => {
+describe('end to end, with each component in its own process', () => {
 	let directory: string;
 	const started: StartedProcess[] = [];
 	const start = async (...args: string[]) => {
