--- a/packages/daemon/src/lib/wiring/endpoint-wiring.ts
+++ b/packages/daemon/src/lib/wiring/endpoint-wiring.ts
@@ -74,7 +74,7 @@
 		onReport(endpoint, report) {
 			placer.observe(endpoint, report);
 		},
-		onSilence(endpoint) {
+		onProbeFailure(endpoint) {
 			log.debug('Endpoint did not answer a load probe.', {endpoint});
 		},
 	});
--- a/packages/daemon/src/lib/wiring/trace-wiring.ts
+++ b/packages/daemon/src/lib/wiring/trace-wiring.ts
@@ -1,7 +1,7 @@
 /** Records requests of a running daemon as a trace, when an operator asks for it. */
 import {randomBytes} from 'node:crypto';
 import {type FastifyInstance} from 'fastify';
-import {createOperatorGate, RequestInvalidError} from 'hickorywalk/administration.js';
+import {createOperatorAuthorizer, RequestInvalidError} from 'hickorywalk/administration.js';
 import {
 	type Outcome, type Placement, type PlacementRequest, type Placer,
 } from 'hickorywalk/gateway.js';
@@ -42,9 +42,9 @@
 
 /** Adds the route by which operators record a trace. A trace holds neither prompt text nor keys. */
 export function addTraceRoute(app: FastifyInstance, parts: Parts): void {
-	const gate = createOperatorGate(parts.settings.operators);
+	const gate = createOperatorAuthorizer(parts.settings.operators);
 	app.get('/v1/trace', async (req, reply) => {
-		gate.admit(req.headers.authorization, 'read');
+		gate.authorize(req.headers.authorization, 'read');
 		const {data, error} = querySchema.safeParse(req.query);
 		if (data === undefined) {
 			throw new RequestInvalidError(error.issues.map(({path, message}) => ({path: path.join('.'), message})));
--- a/packages/entry/src/lib/wiring/lease-wiring.ts
+++ b/packages/entry/src/lib/wiring/lease-wiring.ts
@@ -20,7 +20,7 @@
 		table: ownTable,
 		candidates: () => [settings.name, ...peers.live().map(({report}) => report.daemon)],
 		isHeldElsewhere: () => peers.live().some(({report, heardAt}) => report.duty !== null && report.duty[1] > performance.now() - heardAt),
-		lastWord(name, incarnation) {
+		lastReport(name, incarnation) {
 			const peer = peers.known().get(name);
 			return peer?.report.duty && BigInt(peer.report.incarnation) === incarnation
 				? {attempt: peer.report.duty[0], heardAt: peer.heardAt, msLeft: peer.report.duty[1]}
--- a/packages/entry/src/lib/wiring/peer-wiring.ts
+++ b/packages/entry/src/lib/wiring/peer-wiring.ts
@@ -94,7 +94,7 @@
 
 /** Tells peers how long the lease may still be held, so that a successor waits no longer than needed. */
 function leaseForReport({leases}: EntryParts): PeerReport['duty'] {
-	const announcement = leases.word(weightsLease);
+	const announcement = leases.report(weightsLease);
 	return announcement === undefined ? null : [announcement.attempt, Math.ceil(announcement.msLeft)];
 }
 
--- a/packages/entry/src/lib/wiring/request-wiring.ts
+++ b/packages/entry/src/lib/wiring/request-wiring.ts
@@ -85,7 +85,7 @@
 		let budget = budgets.get(service);
 		if (budget === undefined) {
 			budget = createRetryBudget({
-				share: share * retryBudgetRatio, fewest: ownAllowance, isFewestExtra: true, windowMs,
+				share: share * retryBudgetRatio, minimum: ownAllowance, isMinimumAdded: true, windowMs,
 			});
 			budgets.set(service, budget);
 		}
--- a/packages/router/src/configuration.ts
+++ b/packages/router/src/configuration.ts
@@ -8,7 +8,7 @@
 export * from './lib/configuration/document-difference.js';
 export * from './lib/configuration/key-ring.js';
 export {
-	applyDelta, deltaTo, emptySectionSet, wholeDelta, type SectionDelta, type SectionSet,
+	applyDelta, deltaTo, emptySectionSet, fullDelta as wholeDelta, type SectionDelta, type SectionSet,
 } from './lib/configuration/section-set.js';
 export type {ConfigurationLoader, HeldConfiguration, StoredHead} from './lib/configuration/configuration-loader.js';
 export type {VersionRecord} from './lib/configuration/configuration-records.js';
--- a/packages/router/src/lib/administration/administration-server.ts
+++ b/packages/router/src/lib/administration/administration-server.ts
@@ -14,7 +14,7 @@
 import {defineFleetRoutes, type FleetRoutesOptions} from './fleet-routes.js';
 import {defineKeyRoutes} from './key-routes.js';
 import {createOpenApi} from './openapi.js';
-import {createOperatorGate, type Operator} from './operators.js';
+import {createOperatorAuthorizer, type Operator} from './operators.js';
 import {type Route, type RouteAnswer} from './route.js';
 
 export type AdministrationServerOptions = ConfigurationRoutesOptions & FleetRoutesOptions & {
@@ -84,10 +84,10 @@
 }
 
 function mountRoutes(app: FastifyInstance, routes: readonly Route[], options: AdministrationServerOptions, log: Log): void {
-	const authorizer = createOperatorGate(options.operators);
+	const authorizer = createOperatorAuthorizer(options.operators);
 	const openApi = createOpenApi(routes, options.programVersion ?? '0.1.0');
 	app.get('/v1/openapi.json', async req => {
-		authorizer.admit(req.headers.authorization, 'read');
+		authorizer.authorize(req.headers.authorization, 'read');
 		return openApi;
 	});
 	for (const route of routes) {
@@ -96,10 +96,10 @@
 			url: route.path,
 			// Authorizes before the body is read, so that an unknown client can't make the daemon buffer 16 MiB.
 			async onRequest(req) {
-				authorizer.admit(req.headers.authorization, route.role);
+				authorizer.authorize(req.headers.authorization, route.role);
 			},
 			async handler(req, reply) {
-				const operator = authorizer.admit(req.headers.authorization, route.role);
+				const operator = authorizer.authorize(req.headers.authorization, route.role);
 				const answer = await route.run({
 					operator, params: req.params, query: req.query, body: req.body, ifMatch: req.headers['if-match'],
 				});
--- a/packages/router/src/lib/administration/operators.ts
+++ b/packages/router/src/lib/administration/operators.ts
@@ -25,16 +25,16 @@
 	 * @throws {OperatorUnknownError} when the header contains no operator's key.
 	 * @throws {OperatorRoleError} when the operator lacks the role.
 	 */
-	admit: (authorization: string | undefined, role: OperatorRole) => Operator;
+	authorize: (authorization: string | undefined, role: OperatorRole) => Operator;
 };
 
 const bearerPattern = /^Bearer ([\u0021-\u007E]{1,256})$/v;
 
 /** Creates an authorizer for a fixed list of operators. */
-export function createOperatorGate(operators: readonly Operator[]): OperatorAuthorizer {
+export function createOperatorAuthorizer(operators: readonly Operator[]): OperatorAuthorizer {
 	const entries = operators.map(operator => ({operator, digest: Buffer.from(operator.digest, 'hex')}));
 	return {
-		admit(authorization, role) {
+		authorize(authorization, role) {
 			const key = bearerPattern.exec(authorization ?? '')?.[1] ?? '';
 			const digest = createHash('sha256').update(key).digest();
 			// All entries are compared in constant time, so that timing reveals neither which one matched nor how many bytes.
--- a/packages/router/src/lib/configuration/configuration-follower.ts
+++ b/packages/router/src/lib/configuration/configuration-follower.ts
@@ -21,7 +21,7 @@
 	answerRequest, createSectionAssembly, createStepHistory, decodeAge, encodeAge,
 } from './section-exchange.js';
 import {
-	emptySectionSet, type SectionDelta, type SectionSet, wholeDelta,
+	emptySectionSet, type SectionDelta, type SectionSet, fullDelta,
 } from './section-set.js';
 
 /** The live peers of a daemon, excluding itself. */
@@ -307,7 +307,7 @@
 		},
 		held: () => held.version === 0 ? undefined : held,
 		adopt(version, set) {
-			activate(version, set, 0, wholeDelta(set));
+			activate(version, set, 0, fullDelta(set));
 		},
 		handlers,
 		start() {
--- a/packages/router/src/lib/configuration/configuration-store.ts
+++ b/packages/router/src/lib/configuration/configuration-store.ts
@@ -19,7 +19,7 @@
 import {differenceOf} from './document-difference.js';
 import {parseDocument} from './parse-document.js';
 import {
-	applyDelta, deltaTo, emptySectionSet, type SectionSet, wholeDelta,
+	applyDelta, deltaTo, emptySectionSet, type SectionSet, fullDelta,
 } from './section-set.js';
 
 /** How many of the listed daemons this one receives heartbeats from, itself included. */
@@ -151,7 +151,7 @@
 			return {base: head.base, baseVersion: head.baseVersion};
 		}
 
-		const baseObject = encodeDelta(wholeDelta(set));
+		const baseObject = encodeDelta(fullDelta(set));
 		await objects.put(baseObject.name, baseObject.content, {ifAbsent: true});
 		return {base: baseObject.digest, baseVersion: version};
 	}
--- a/packages/router/src/lib/configuration/section-exchange.ts
+++ b/packages/router/src/lib/configuration/section-exchange.ts
@@ -7,7 +7,7 @@
 import {create} from '@bufbuild/protobuf';
 import {type ConfigurationSections, ConfigurationSectionsSchema, SectionBodySchema} from '../../gen/hickorywalk/v1/configuration_pb.js';
 import {
-	applyDelta, emptySectionSet, mergeDeltas, type SectionDelta, type SectionSet, wholeDelta,
+	applyDelta, emptySectionSet, mergeDeltas, type SectionDelta, type SectionSet, fullDelta,
 } from './section-set.js';
 import {type HeldConfiguration} from './configuration-loader.js';
 
@@ -73,7 +73,7 @@
 
 	const delta = heldVersion === 0 ? undefined : steps.since(heldVersion);
 	const fromVersion = delta === undefined ? 0 : heldVersion;
-	const parts = splitDelta(delta ?? wholeDelta(held.set));
+	const parts = splitDelta(delta ?? fullDelta(held.set));
 	return parts.map((part, index) => create(ConfigurationSectionsSchema, {
 		version: BigInt(held.version),
 		fromVersion: BigInt(fromVersion),
--- a/packages/router/src/lib/configuration/section-set.ts
+++ b/packages/router/src/lib/configuration/section-set.ts
@@ -46,7 +46,7 @@
 }
 
 /** Returns all sections of a set as a delta from the empty set. */
-export function wholeDelta(set: SectionSet): SectionDelta {
+export function fullDelta(set: SectionSet): SectionDelta {
 	const changed = new Map<string, string>();
 	for (const section of set.sections.values()) {
 		changed.set(section.name, section.json);
--- a/packages/router/src/lib/endpoints/endpoint-watch.ts
+++ b/packages/router/src/lib/endpoints/endpoint-watch.ts
@@ -25,7 +25,7 @@
 	mostPerSecond: number;
 	onReport: (endpoint: string, report: EngineReport) => void;
 	/** Called when a probe failed; the endpoint may be down. */
-	onSilence: (endpoint: string) => void;
+	onProbeFailure: (endpoint: string) => void;
 };
 
 /** Probes endpoints and keeps the results. */
@@ -96,7 +96,7 @@
 			options.onReport(endpoint.name, report);
 		} catch {
 			saveProbe(endpoint, undefined);
-			options.onSilence(endpoint.name);
+			options.onProbeFailure(endpoint.name);
 		}
 	};
 
--- a/packages/router/src/lib/endpoints/engine-client.ts
+++ b/packages/router/src/lib/endpoints/engine-client.ts
@@ -43,7 +43,7 @@
 };
 
 /** An engine's response, which was checked to belong to the request. */
-export type EngineAnswer = {
+export type EngineResponse = {
 	status: number;
 	contentType: string;
 	load: EngineLoad | undefined;
@@ -53,7 +53,7 @@
 
 /** Calls engines by address. */
 export type EngineClient = {
-	call: (call: EngineCall) => Promise<EngineAnswer>;
+	call: (call: EngineCall) => Promise<EngineResponse>;
 	close: () => Promise<void>;
 };
 
@@ -110,7 +110,7 @@
 		})();
 	};
 
-	async function call(engineCall: EngineCall): Promise<EngineAnswer> {
+	async function call(engineCall: EngineCall): Promise<EngineResponse> {
 		const abort = new AbortController();
 		const cancel = () => {
 			abort.abort(engineCall.signal.reason);
--- a/packages/router/src/lib/forwarding/attempt.ts
+++ b/packages/router/src/lib/forwarding/attempt.ts
@@ -189,7 +189,7 @@
 	};
 
 	const exchange = options.transport.send(options.request, {
-		leaving() {
+		beforeSend() {
 			if (reply.isDisconnected() || isSettled) {
 				return false;
 			}
--- a/packages/router/src/lib/forwarding/retry-decision.ts
+++ b/packages/router/src/lib/forwarding/retry-decision.ts
@@ -1,5 +1,5 @@
 /** Decides what follows an attempt: a retry, or a response to the caller. */
-import {brokenOff, failureClasses, type FailureClass} from '../orders/failure-classes.js';
+import {connectionLossFailures, failureClasses, type FailureClass} from '../orders/failure-classes.js';
 import {type Standing} from '../quarantine/quarantine.js';
 import {type AttemptEnd, type BufferedResponse} from './attempt.js';
 import {type Call, mayRunAgain} from './call.js';
@@ -57,7 +57,7 @@
 	}
 
 	call.mayHaveRun = true;
-	call.brokenConnections += brokenOff.has(failure) ? 1 : 0;
+	call.brokenConnections += connectionLossFailures.has(failure) ? 1 : 0;
 	const standing = standingOf(call.digest);
 	if (standing === 'refused') {
 		return {kind: 'refuse', name: 'crashed_endpoints'};
--- a/packages/router/src/lib/forwarding/send-to-endpoint.ts
+++ b/packages/router/src/lib/forwarding/send-to-endpoint.ts
@@ -2,7 +2,7 @@
 import {type ResponseFacts, type CallHeaders, type Dispatch} from '../fleet/call-headers.js';
 import {type EndpointPresence} from '../fleet/endpoint-presence.js';
 import {type EndpointTransport} from '../orders/endpoint-transport.js';
-import {brokenOff, failureClasses} from '../orders/failure-classes.js';
+import {connectionLossFailures, failureClasses} from '../orders/failure-classes.js';
 import {type EndpointLoadTracker} from '../placing/endpoint-load-tracker.js';
 import {type Choice, type EndpointChoice} from '../placing/endpoint-choice.js';
 import {type EndpointLimits} from '../placing/endpoint-limits.js';
@@ -106,7 +106,7 @@
 			book.updateEstimates(id, firstAt - sentAt - chosen.fetchMs, chosen.missingTokens, chosen.pendingTokens);
 		}
 
-		if (end.kind === 'failed' && brokenOff.has(end.failure)) {
+		if (end.kind === 'failed' && connectionLossFailures.has(end.failure)) {
 			crashWatch.reportBrokenConnection(chosen.endpoint, {digest: call.digest, position: streamPosition(call)});
 		}
 
@@ -131,7 +131,7 @@
 		}
 
 		limits.recordSent(endpoint);
-		transport.trustIds(target);
+		transport.allowConnectionReuse(target);
 		const end = await runAttempt({
 			transport,
 			headers,
@@ -141,7 +141,7 @@
 				path: call.req.url ?? '/',
 				headers: headers.forEndpoint(call.req.rawHeaders, dispatchFor(call, chosen)),
 				...(call.body !== undefined && call.body.length > 0 && {body: {kind: 'whole', content: call.body}}),
-				ownConnection: false,
+				dedicatedConnection: false,
 			},
 			requestId: call.facts.requestId,
 			reply: call.reply,
--- a/packages/router/src/lib/gateway/model-gateway.ts
+++ b/packages/router/src/lib/gateway/model-gateway.ts
@@ -2,7 +2,7 @@
 import {Buffer} from 'node:buffer';
 import {type IncomingHttpHeaders, type ServerResponse} from 'node:http';
 import {type ModelService} from '../configuration/document.js';
-import {type EngineAnswer} from '../endpoints/engine-client.js';
+import {type EngineResponse} from '../endpoints/engine-client.js';
 import {EndpointBrokenError} from '../endpoints/endpoint-errors.js';
 import {chooseVersion} from '../endpoints/version-choice.js';
 import {type Caller} from '../configuration/key-ring.js';
@@ -219,7 +219,7 @@
 		await (plan.request.stream && answer.status === statusOk ? passStream(step, answer, sentAt) : passWhole(step, answer, sentAt));
 	}
 
-	async function passStream(step: AttemptContext, answer: EngineAnswer, sentAt: number): Promise<void> {
+	async function passStream(step: AttemptContext, answer: EngineResponse, sentAt: number): Promise<void> {
 		relay ??= createStreamRelay({
 			raw,
 			caller: step.caller,
@@ -237,7 +237,7 @@
 		}
 	}
 
-	async function passWhole(step: AttemptContext, answer: EngineAnswer, sentAt: number): Promise<void> {
+	async function passWhole(step: AttemptContext, answer: EngineResponse, sentAt: number): Promise<void> {
 		const pieces: Uint8Array[] = [];
 		for await (const chunk of answer.chunks) {
 			pieces.push(chunk);
--- a/packages/router/src/lib/leases/lease-holder.ts
+++ b/packages/router/src/lib/leases/lease-holder.ts
@@ -33,7 +33,7 @@
 	 * a contender has to wait for a whole lease, which might have been renewed just
 	 * before.
 	 */
-	lastWord?: (holder: string, incarnation: bigint) => LeaseReport | undefined;
+	lastReport?: (holder: string, incarnation: bigint) => LeaseReport | undefined;
 	/** Whether another daemon has recently reported that it holds a duty; the rows are not read then. */
 	isHeldElsewhere?: (duty: string) => boolean;
 	/**
@@ -80,7 +80,7 @@
 	 * Report for peers on a lease of this process: its latest attempt to write the
 	 * row, and the milliseconds for which that or an earlier attempt may let it act.
 	 */
-	word: (duty: string) => {attempt: number; msLeft: number} | undefined;
+	report: (duty: string) => {attempt: number; msLeft: number} | undefined;
 	/** Starts to contend for a duty. */
 	contend: (duty: string) => void;
 	/** The lease if it is still valid, checked against the clock: call this right before each act. */
@@ -177,7 +177,7 @@
 			return !held.has(duty);
 		}
 
-		const report = options.lastWord?.(known.row.holder, BigInt(known.row.incarnation));
+		const report = options.lastReport?.(known.row.holder, BigInt(known.row.incarnation));
 		if (report !== undefined && known.row.attempt <= report.attempt && hasEndedByReport(report)) {
 			return true;
 		}
@@ -276,7 +276,7 @@
 	}
 
 	return {
-		word(duty) {
+		report(duty) {
 			const latest = attempts.get(duty);
 			return latest && {attempt: latest.attempt, msLeft: Math.max(0, latest.end - performance.now())};
 		},
--- a/packages/router/src/lib/orders/call-problems.ts
+++ b/packages/router/src/lib/orders/call-problems.ts
@@ -3,7 +3,7 @@
  * response, and what a caller may conclude from each.
  */
 import {Buffer} from 'node:buffer';
-import {type AnswerSink} from './response-sink.js';
+import {type ResponseSink} from './response-sink.js';
 import {requestFaults} from './request-checks.js';
 
 /**
@@ -94,7 +94,7 @@
 };
 
 /** Answers a call with an error response. */
-export function sendProblem(sink: AnswerSink, code: ProblemCode, detail: ProblemDetail): void {
+export function sendProblem(sink: ResponseSink, code: ProblemCode, detail: ProblemDetail): void {
 	const problem: Problem = callProblems[code];
 	const error = {
 		type: 'service_call', code, outcome: problem.outcome, message: problem.message, request_id: detail.requestId,
--- a/packages/router/src/lib/orders/endpoint-transport.ts
+++ b/packages/router/src/lib/orders/endpoint-transport.ts
@@ -31,7 +31,7 @@
 	 * The handshake has just shown that it works, and it cannot deliver the
 	 * response to another request.
 	 */
-	ownConnection: boolean;
+	dedicatedConnection: boolean;
 };
 
 /** Events of an exchange. None follows `end` or `failed`. */
@@ -40,7 +40,7 @@
 	 * Called in the tick in which the first byte is written. If it returns `false`,
 	 * no byte is sent and the exchange fails as `withdrawn`.
 	 */
-	leaving: (shared: boolean) => boolean;
+	beforeSend: (shared: boolean) => boolean;
 	/** A part of the request body was sent. */
 	progress: () => void;
 	head: (head: ResponseHead) => void;
@@ -67,7 +67,7 @@
 export type EndpointTransport = {
 	send: (request: OutgoingRequest, events: ExchangeEvents) => Exchange;
 	/** Declares that the endpoint's responses carry request ids, so that its connections may be reused. */
-	trustIds: (endpoint: EndpointAddress) => void;
+	allowConnectionReuse: (endpoint: EndpointAddress) => void;
 	/** Closes idle connections after exchanges in progress have ended. */
 	close: () => Promise<void>;
 };
--- a/packages/router/src/lib/orders/exchange.ts
+++ b/packages/router/src/lib/orders/exchange.ts
@@ -3,7 +3,7 @@
  * is complete, passes it on with backpressure, and classifies failures.
  */
 import {isSelfDelimiting, identifyResponse} from './response-checks.js';
-import {type AnswerSink} from './response-sink.js';
+import {type ResponseSink} from './response-sink.js';
 import {
 	type ResponseHead, type EndpointTransport, type Exchange, type OutgoingRequest,
 } from './endpoint-transport.js';
@@ -28,7 +28,7 @@
 	request: OutgoingRequest;
 	requestId: string;
 	kind: CallKind;
-	sink: AnswerSink;
+	sink: ResponseSink;
 	limits: ExchangeLimits;
 	/** `performance.now()` by which the response must have begun. */
 	deadline: number;
@@ -133,7 +133,7 @@
 		}
 
 		if (identity === 'own') {
-			options.transport.trustIds(request.endpoint);
+			options.transport.allowConnectionReuse(request.endpoint);
 		}
 
 		status = head.status;
@@ -155,7 +155,7 @@
 	};
 
 	const events = {
-		leaving(isShared: boolean) {
+		beforeSend(isShared: boolean) {
 			if (settled || !options.maySend()) {
 				return false;
 			}
--- a/packages/router/src/lib/orders/failure-classes.ts
+++ b/packages/router/src/lib/orders/failure-classes.ts
@@ -40,7 +40,7 @@
 export type FailureClass = keyof typeof failureClasses;
 
 /** Failures in which the endpoint closed or lost the connection. */
-export const brokenOff: ReadonlySet<FailureClass> = new Set(['reset', 'truncated']);
+export const connectionLossFailures: ReadonlySet<FailureClass> = new Set(['reset', 'truncated']);
 
 /** `idempotent` calls may run more than once, `once` calls may not. */
 export type CallKind = 'idempotent' | 'once';
--- a/packages/router/src/lib/orders/http-sink.ts
+++ b/packages/router/src/lib/orders/http-sink.ts
@@ -1,6 +1,6 @@
 /** Response sink for Node's HTTP server. */
 import {type ServerResponse} from 'node:http';
-import {type AnswerSink} from './response-sink.js';
+import {type ResponseSink} from './response-sink.js';
 import {isBodiless, requestIdHeader} from './response-checks.js';
 import {outcomeHeader} from './call-problems.js';
 import {connectionHeaders, connectionOptions, headerPairs} from './credential-headers.js';
@@ -47,7 +47,7 @@
 }
 
 /** Creates the sink of a response to which nothing has been written yet. */
-export function createHttpSink(res: ServerResponse): AnswerSink {
+export function createHttpSink(res: ServerResponse): ResponseSink {
 	let gone = res.destroyed;
 	let chunked = false;
 	const goneListeners = new Set<() => void>();
@@ -107,7 +107,7 @@
 }
 
 /** Wraps a sink so that every response carries the request id. */
-export function createIdentifiedSink(sink: AnswerSink, requestId: string): AnswerSink {
+export function createIdentifiedSink(sink: ResponseSink, requestId: string): ResponseSink {
 	return {
 		...sink,
 		start(head) {
@@ -117,7 +117,7 @@
 }
 
 /** Wraps a sink so that endpoints' responses get the headers that callers may see. */
-export function createEndpointSink(sink: AnswerSink): AnswerSink {
+export function createEndpointSink(sink: ResponseSink): ResponseSink {
 	return {
 		...sink,
 		start(head) {
--- a/packages/router/src/lib/orders/keyed-call.ts
+++ b/packages/router/src/lib/orders/keyed-call.ts
@@ -5,7 +5,7 @@
  */
 import {Buffer} from 'node:buffer';
 import {type Endpoint, type PlainService} from '../configuration/document.js';
-import {type AnswerSink, createRecordingSink, type RecordedResponse} from './response-sink.js';
+import {type ResponseSink, createRecordingSink, type RecordedResponse} from './response-sink.js';
 import {sendProblem} from './call-problems.js';
 import {
 	type Claim, type ClaimedOrder, type FoundOrder, type OrderStore, type OrderOutcome,
@@ -32,7 +32,7 @@
 /** Options of {@link createKeyedCalls}. */
 export type KeyedCallsOptions = {
 	orderStore: OrderStore;
-	run: (call: ReadyCall, sink: AnswerSink) => Promise<CallResult>;
+	run: (call: ReadyCall, sink: ResponseSink) => Promise<CallResult>;
 	lookUp: (service: PlainService, endpoint: Endpoint, requestId: string) => Promise<KnownRun | undefined>;
 	limits: KeyedLimits;
 	/** Creates a random token for each intent record. */
@@ -71,7 +71,7 @@
 }
 
 /** Answers a repeat with the stored response of the first call. */
-function replay(sink: AnswerSink, order: AnsweredOrder, requestId: string): void {
+function replay(sink: ResponseSink, order: AnsweredOrder, requestId: string): void {
 	if (order.status === null || order.body === null) {
 		sendProblem(sink, 'answer_not_kept', {requestId, endpointStatus: order.status});
 		return;
@@ -121,7 +121,7 @@
 		}
 	};
 
-	const settleUnknown = async (keyed: KeyedCall, order: ClaimedOrder, result: CallResult & {kind: 'unknown'}, sink: AnswerSink): Promise<KeyedResult> => {
+	const settleUnknown = async (keyed: KeyedCall, order: ClaimedOrder, result: CallResult & {kind: 'unknown'}, sink: ResponseSink): Promise<KeyedResult> => {
 		const {requestId} = keyed.call;
 		const known = await options.lookUp(keyed.service, result.endpoint, requestId);
 		const end: OrderOutcome = known === undefined
@@ -137,7 +137,7 @@
 		return 'unknown';
 	};
 
-	const dispatch = async (keyed: KeyedCall, order: ClaimedOrder, claimedAt: {monotonic: number; wall: number}, sink: AnswerSink): Promise<KeyedResult> => {
+	const dispatch = async (keyed: KeyedCall, order: ClaimedOrder, claimedAt: {monotonic: number; wall: number}, sink: ResponseSink): Promise<KeyedResult> => {
 		const recordingSink = createRecordingSink(sink, limits.mostKeptBytes);
 		// A process that was paused after its claim may resume after an operator has
 		// settled the order as never run. Both clocks are checked: the monotonic
@@ -161,7 +161,7 @@
 	};
 
 	/** Waits while the order is in progress, at most until the caller's deadline. */
-	const waitForOutcome = async (first: FoundOrder, keyed: KeyedCall, sink: AnswerSink): Promise<FoundOrder> => {
+	const waitForOutcome = async (first: FoundOrder, keyed: KeyedCall, sink: ResponseSink): Promise<FoundOrder> => {
 		const key = keyOf(keyed);
 		let found = first;
 		let pollMs = firstPollMs;
@@ -185,7 +185,7 @@
 		return found;
 	};
 
-	const answerRepeat = async (keyed: KeyedCall, existing: FoundOrder, digest: string, sink: AnswerSink): Promise<KeyedResult | 'again'> => {
+	const answerRepeat = async (keyed: KeyedCall, existing: FoundOrder, digest: string, sink: ResponseSink): Promise<KeyedResult | 'again'> => {
 		const {requestId} = keyed.call;
 		if (existing.row.digest !== digest) {
 			sendProblem(sink, 'key_reused', {requestId});
@@ -229,7 +229,7 @@
 		}
 	};
 
-	const dispatchOnce = async (keyed: KeyedCall, order: ClaimedOrder, startedAt: number, sink: AnswerSink): Promise<KeyedResult> => {
+	const dispatchOnce = async (keyed: KeyedCall, order: ClaimedOrder, startedAt: number, sink: ResponseSink): Promise<KeyedResult> => {
 		const work = dispatch(keyed, order, {monotonic: startedAt, wall: order.row.createdMs}, sink);
 		inProgress.set(order.key, work);
 		try {
@@ -241,7 +241,7 @@
 
 	return {
 		/** Answers one keyed call. Store errors are answered, not thrown. */
-		async handle(keyed: KeyedCall, sink: AnswerSink): Promise<KeyedResult> {
+		async handle(keyed: KeyedCall, sink: ResponseSink): Promise<KeyedResult> {
 			for (;;) {
 				const startedAt = performance.now();
 				const row = intentOf(keyed);
--- a/packages/router/src/lib/orders/response-sink.ts
+++ b/packages/router/src/lib/orders/response-sink.ts
@@ -2,7 +2,7 @@
 import {type ResponseHead} from './endpoint-transport.js';
 
 /** Writes the response of one call to its caller. */
-export type AnswerSink = {
+export type ResponseSink = {
 	start: (head: ResponseHead) => void;
 	/** Returns `false` when the caller reads too slowly; continue after `onDrain`. */
 	write: (chunk: Uint8Array) => boolean;
@@ -26,7 +26,7 @@
 };
 
 /** Wraps a sink and records the response, with the body if it has at most `maxBytes`. */
-export function createRecordingSink(sink: AnswerSink, maxBytes: number): AnswerSink & {recorded: () => RecordedResponse | undefined} {
+export function createRecordingSink(sink: ResponseSink, maxBytes: number): ResponseSink & {recorded: () => RecordedResponse | undefined} {
 	let head: ResponseHead | undefined;
 	let trailers: readonly string[] | undefined;
 	let body: Uint8Array[] | undefined = [];
--- a/packages/router/src/lib/orders/run-call.ts
+++ b/packages/router/src/lib/orders/run-call.ts
@@ -3,7 +3,7 @@
  * What follows each failure is defined by the tables in `failure-classes.ts`.
  */
 import {type Endpoint} from '../configuration/document.js';
-import {type AnswerSink} from './response-sink.js';
+import {type ResponseSink} from './response-sink.js';
 import {type EndpointTransport, type OutgoingBody} from './endpoint-transport.js';
 import {type ExchangeLimits, type ExchangeResult, runExchange} from './exchange.js';
 import {
@@ -68,7 +68,7 @@
 }
 
 /** Runs a call to its end. Never rejects; only an endpoint's response is written to the sink. */
-export async function runCall(call: ReadyCall, sink: AnswerSink, options: RunCallOptions): Promise<CallResult> {
+export async function runCall(call: ReadyCall, sink: ResponseSink, options: RunCallOptions): Promise<CallResult> {
 	const excluded = new Set<string>();
 	let last: CallResult = {kind: 'not_run', failure: 'no_endpoint'};
 	options.retryBudget.deposit(call.service);
@@ -89,7 +89,7 @@
 				...opened,
 				// Retries use a new connection: after silence, idle connections to any
 				// endpoint may have been lost together.
-				ownConnection: call.kind === 'once' || attempt > 1,
+				dedicatedConnection: call.kind === 'once' || attempt > 1,
 			},
 			requestId: call.requestId,
 			kind: call.kind,
--- a/packages/router/src/lib/orders/service-calls.ts
+++ b/packages/router/src/lib/orders/service-calls.ts
@@ -5,7 +5,7 @@
  */
 import {randomUUID} from 'node:crypto';
 import {headerValue, requestIdHeader} from './response-checks.js';
-import {type AnswerSink} from './response-sink.js';
+import {type ResponseSink} from './response-sink.js';
 import {createByteBudget} from './byte-budget.js';
 import {type ProblemCode, sendProblem} from './call-problems.js';
 import {forwardableHeaders, headerPairs, stripKeyFromUrl} from './credential-headers.js';
@@ -37,7 +37,7 @@
 /** Handles calls to plain services, independent of the HTTP server. */
 export type ServiceCalls = UnknownOrders & {
 	/** Answers one call. Rejects if reading the caller's request body fails. */
-	handle: (req: IncomingRequest, sink: AnswerSink, context: ServiceContext) => Promise<ServiceEvent>;
+	handle: (req: IncomingRequest, sink: ResponseSink, context: ServiceContext) => Promise<ServiceEvent>;
 	/** Refuses new calls, and resolves once all calls have ended and their outcomes are recorded. */
 	drain: () => Promise<void>;
 };
@@ -114,7 +114,7 @@
 	const active = new Set<Promise<unknown>>();
 	let stopping = false;
 
-	const run = async (call: ReadyCall, sink: AnswerSink): Promise<CallResult> => runCall(call, createEndpointSink(sink), {
+	const run = async (call: ReadyCall, sink: ResponseSink): Promise<CallResult> => runCall(call, createEndpointSink(sink), {
 		transport,
 		retryBudget: options.retryBudget,
 		limits,
@@ -131,7 +131,7 @@
 		orderStore, run, lookUp, newToken, onUnrecorded,
 	});
 
-	const refuse = (sink: AnswerSink, code: ProblemCode, context: ServiceContext): ServiceEvent => {
+	const refuse = (sink: ResponseSink, code: ProblemCode, context: ServiceContext): ServiceEvent => {
 		sendProblem(sink, code, {requestId: context.requestId});
 		return 'refused';
 	};
@@ -169,7 +169,7 @@
 		}
 	};
 
-	const handleCall = async (req: IncomingRequest, sink: AnswerSink, context: ServiceContext): Promise<ServiceEvent> => {
+	const handleCall = async (req: IncomingRequest, sink: ResponseSink, context: ServiceContext): Promise<ServiceEvent> => {
 		const {method} = req;
 		const path = stripKeyFromUrl(context.path, context.presentedKey);
 		const fault = findRequestFault({
--- a/packages/router/src/lib/orders/service-options.ts
+++ b/packages/router/src/lib/orders/service-options.ts
@@ -1,7 +1,7 @@
 /** Limits, context and options of calls to plain services. */
 import {type Endpoint, type PlainService} from '../configuration/document.js';
 import {type TableClient} from '../platform/platform.js';
-import {type AnswerSink} from './response-sink.js';
+import {type ResponseSink} from './response-sink.js';
 import {type EndpointTransport} from './endpoint-transport.js';
 import {type ExchangeLimits} from './exchange.js';
 import {type KeyedLimits} from './keyed-call.js';
@@ -98,5 +98,5 @@
 	call: ReadyCall;
 	body: RequestBody | undefined;
 	contentType: string;
-	sink: AnswerSink;
+	sink: ResponseSink;
 };
--- a/packages/router/src/lib/orders/status-look-up.ts
+++ b/packages/router/src/lib/orders/status-look-up.ts
@@ -2,7 +2,7 @@
 import {Buffer} from 'node:buffer';
 import {z} from 'zod';
 import {type Endpoint, type PlainService} from '../configuration/document.js';
-import {type AnswerSink} from './response-sink.js';
+import {type ResponseSink} from './response-sink.js';
 import {type EndpointTransport} from './endpoint-transport.js';
 import {runExchange} from './exchange.js';
 
@@ -22,7 +22,7 @@
 const maxResponseBytes = 16_384;
 const statusOk = 200;
 
-function createCollectingSink(): AnswerSink & {text: () => string} {
+function createCollectingSink(): ResponseSink & {text: () => string} {
 	const chunks: Uint8Array[] = [];
 	let bytes = 0;
 	return {
@@ -80,7 +80,7 @@
 				path: service.statusPath.replaceAll('{id}', encodeURIComponent(requestId)),
 				headers: ['accept', 'application/json', 'x-request-id', lookUpId],
 				// The fault that lost the response may have broken idle connections too.
-				ownConnection: true,
+				dedicatedConnection: true,
 			},
 			requestId: lookUpId,
 			kind: 'idempotent',
--- a/packages/router/src/lib/orders/undici-transport.ts
+++ b/packages/router/src/lib/orders/undici-transport.ts
@@ -128,7 +128,7 @@
 				return;
 			}
 
-			if (state.cancelled || !events.leaving(state.shared)) {
+			if (state.cancelled || !events.beforeSend(state.shared)) {
 				state.cancelled = true;
 				controller.abort(new EndpointExchangeError('The request was withdrawn before its first byte was sent.'));
 				return;
@@ -238,7 +238,7 @@
 
 	const send = (request: OutgoingRequest, events: ExchangeEvents): Exchange => {
 		const {origin} = new URL(request.endpoint.address);
-		const pool = request.ownConnection ? undefined : pools.get(origin);
+		const pool = request.dedicatedConnection ? undefined : pools.get(origin);
 		const state: ExchangeState = {
 			shared: pool !== undefined, sent: false, cancelled: false, ended: false, callerBodyFailed: false,
 		};
@@ -271,7 +271,7 @@
 
 	return {
 		send,
-		trustIds(endpoint: EndpointAddress) {
+		allowConnectionReuse(endpoint: EndpointAddress) {
 			const {origin} = new URL(endpoint.address);
 			if (!pools.has(origin)) {
 				pools.set(origin, new Pool(origin, {
--- a/packages/router/src/lib/orders/unkeyed-call.ts
+++ b/packages/router/src/lib/orders/unkeyed-call.ts
@@ -1,6 +1,6 @@
 /** Calls without a key: answered, reported as not run, or listed as unknown. */
 import {type Endpoint, type PlainService} from '../configuration/document.js';
-import {type AnswerSink} from './response-sink.js';
+import {type ResponseSink} from './response-sink.js';
 import {sendProblem} from './call-problems.js';
 import {type OrderStore, type OrderOutcome} from './order-store.js';
 import {maxPathCharacters, unkeyedOrderKey} from './order-rows.js';
@@ -11,7 +11,7 @@
 /** Options of {@link createUnkeyedCalls}. */
 export type UnkeyedCallsOptions = {
 	orderStore: OrderStore;
-	run: (call: ReadyCall, sink: AnswerSink) => Promise<CallResult>;
+	run: (call: ReadyCall, sink: ResponseSink) => Promise<CallResult>;
 	lookUp: (service: PlainService, endpoint: Endpoint, requestId: string) => Promise<KnownRun | undefined>;
 	newToken: () => string;
 	/** Called when an outcome could not be recorded. */
--- a/packages/router/src/lib/recovery/recovery-part.ts
+++ b/packages/router/src/lib/recovery/recovery-part.ts
@@ -5,7 +5,7 @@
 import {z} from 'zod';
 import {type SnapshotPart, SnapshotPartSchema} from '../../gen/hickorywalk/v1/recovery_pb.js';
 import {type ConfigurationFollower} from '../configuration/configuration-follower.js';
-import {applyDelta, emptySectionSet, wholeDelta} from '../configuration/section-set.js';
+import {applyDelta, emptySectionSet, fullDelta} from '../configuration/section-set.js';
 
 /** One part of a daemon's state, owned by the component that creates it. */
 export type RecoveryPart = {
@@ -54,7 +54,7 @@
 			return held && Buffer.from(JSON.stringify({
 				version: held.version,
 				root: held.set.root,
-				sections: Object.fromEntries(wholeDelta(held.set).changed),
+				sections: Object.fromEntries(fullDelta(held.set).changed),
 			}));
 		},
 		importContent(content) {
--- a/packages/router/src/lib/routing/attempt-budget.ts
+++ b/packages/router/src/lib/routing/attempt-budget.ts
@@ -10,9 +10,9 @@
 	/** Further attempts allowed for each first attempt. */
 	share: number;
 	/** Further attempts that are always allowed within one window, for low traffic. A function is called on every withdrawal, for a number that changes. */
-	fewest: number | (() => number);
+	minimum: number | (() => number);
 	/** Adds `minimum` to the share instead of taking the larger of the two. Default false. */
-	isFewestExtra?: boolean;
+	isMinimumAdded?: boolean;
 	/** Length of the sliding window, in milliseconds. */
 	windowMs: number;
 };
@@ -28,7 +28,7 @@
 const sliceCount = 10;
 
 /** Creates a budget over a sliding window of ten slices, on the monotonic clock. */
-const createAttemptBudget = ({share, fewest: minimum, windowMs, isFewestExtra: isMinimumAdded = false}: AttemptBudgetOptions): AttemptBudget => {
+const createAttemptBudget = ({share, minimum: minimum, windowMs, isMinimumAdded: isMinimumAdded = false}: AttemptBudgetOptions): AttemptBudget => {
 	const firstAttempts = new Float64Array(sliceCount);
 	const extraAttempts = new Float64Array(sliceCount);
 	const sliceMs = windowMs / sliceCount;
@@ -87,7 +87,7 @@
  */
 export const createRetryBudget = (options: Partial<AttemptBudgetOptions> = {}): AttemptBudget =>
 	createAttemptBudget({
-		share: 0.2, fewest: 3, windowMs: 10_000, ...options,
+		share: 0.2, minimum: 3, windowMs: 10_000, ...options,
 	});
 
 /**
@@ -97,5 +97,5 @@
  */
 export const createHedgeBudget = (options: Partial<AttemptBudgetOptions> = {}): AttemptBudget =>
 	createAttemptBudget({
-		share: 0.05, fewest: 1, windowMs: 10_000, ...options,
+		share: 0.05, minimum: 1, windowMs: 10_000, ...options,
 	});
--- a/packages/router/src/test/leases/lease-report.test.ts
+++ b/packages/router/src/test/leases/lease-report.test.ts
@@ -26,7 +26,7 @@
 
 	const contender = (name: string, given = table): LeaseHolder => {
 		const holder = createLeaseHolder({
-			name, incarnation: 1n, table: given, leaseMs, marginMs, lastWord: other => reports.get(other),
+			name, incarnation: 1n, table: given, leaseMs, marginMs, lastReport: other => reports.get(other),
 		});
 		holder.contend(duty);
 		return holder;
@@ -34,7 +34,7 @@
 
 	/** Records the holder's current report as received by peers. */
 	const hear = (name: string, holder: LeaseHolder): void => {
-		const report = holder.word(duty);
+		const report = holder.report(duty);
 		if (report !== undefined) {
 			reports.set(name, {attempt: report.attempt, heardAt: performance.now(), msLeft: report.msLeft});
 		}
--- a/packages/router/src/test/orders/undici-transport.test.ts
+++ b/packages/router/src/test/orders/undici-transport.test.ts
@@ -12,7 +12,7 @@
 		const failures: string[] = [];
 		const nothing = () => undefined;
 		const handler = createHandler(state, {
-			leaving: () => true, progress: nothing, head: nothing, data: nothing, end: nothing,
+			beforeSend: () => true, progress: nothing, head: nothing, data: nothing, end: nothing,
 			failed: failure => failures.push(failure),
 		}, nothing);
 		let aborted = 0;
--- a/packages/router/src/test/orders/unframed-response.test.ts
+++ b/packages/router/src/test/orders/unframed-response.test.ts
@@ -27,11 +27,11 @@
 async function exchange(address: string): Promise<string> {
 	const transport = createUndiciTransport();
 	const target = {name: 'desk-1', address};
-	transport.trustIds(target);
+	transport.allowConnectionReuse(target);
 	const outcome = await new Promise<string>(resolve => {
 		const nothing = () => undefined;
 		const events: ExchangeEvents = {
-			leaving: () => true,
+			beforeSend: () => true,
 			progress: nothing,
 			head: nothing,
 			data: nothing,
@@ -41,7 +41,7 @@
 			failed: resolve,
 		};
 		transport.send({
-			endpoint: target, method: 'GET', path: '/', headers: [], ownConnection: false,
+			endpoint: target, method: 'GET', path: '/', headers: [], dedicatedConnection: false,
 		}, events);
 	});
 	await transport.close();
--- a/packages/router/src/test/routing/attempt-budget.test.ts
+++ b/packages/router/src/test/routing/attempt-budget.test.ts
@@ -25,7 +25,7 @@
 	it('adds the minimum to the share if isMinimumAdded is set', () => {
 		// Crashed endpoints fail one request in six. If only the larger of the two
 		// parts counted, a third of the permitted retries would be refused.
-		const budget = createRetryBudget({share: 0.2, fewest: 4, isFewestExtra: true});
+		const budget = createRetryBudget({share: 0.2, minimum: 4, isMinimumAdded: true});
 		for (let count = 0; count < 50; count++) {
 			budget.deposit();
 		}
@@ -37,7 +37,7 @@
 
 	it('calls the function for the minimum at each withdrawal, as it grows with the uptime of a restarted process', () => {
 		let minimum = 0;
-		const budget = createRetryBudget({share: 0.2, fewest: () => minimum, isFewestExtra: true});
+		const budget = createRetryBudget({share: 0.2, minimum: () => minimum, isMinimumAdded: true});
 		assert.equal(spend(budget), 0);
 		minimum = 3;
 		assert.equal(spend(budget), 3);
--- a/packages/router/src/test/routing/health.test.ts
+++ b/packages/router/src/test/routing/health.test.ts
@@ -78,7 +78,7 @@
 	 * endpoints would get several times their load and the brown-out would not end.
 	 */
 	it('limits retries to a share of recent requests in a brown-out', () => {
-		const budget = createRetryBudget({share: 0.2, fewest: 3, windowMs: 10_000});
+		const budget = createRetryBudget({share: 0.2, minimum: 3, windowMs: 10_000});
 		let retries = 0;
 		for (let request = 0; request < 1000; request++) {
 			clock.tick(10);
@@ -93,7 +93,7 @@
 	});
 
 	it('allows the minimum without traffic, and ignores attempts before the window', () => {
-		const budget = createHedgeBudget({fewest: 1, windowMs: 1000});
+		const budget = createHedgeBudget({minimum: 1, windowMs: 1000});
 		assert.isTrue(budget.withdraw());
 		assert.isFalse(budget.withdraw());
 		clock.tick(1100);
--- a/packages/standins/src/lib/service/histories/faulty-transport.ts
+++ b/packages/standins/src/lib/service/histories/faulty-transport.ts
@@ -108,7 +108,7 @@
 			events.head({status: 200, headers: ['x-request-id', answerId, ...(framed ? ['content-length', String(body.byteLength)] : [])]});
 		};
 
-		if (isLost() || !events.leaving(false)) {
+		if (isLost() || !events.beforeSend(false)) {
 			events.failed('withdrawn');
 			return;
 		}
@@ -140,7 +140,7 @@
 	const sendStatus = (request: OutgoingRequest, events: ExchangeEvents) => {
 		const requestId = request.path.slice(statusPrefix.length);
 		const body = Buffer.from(JSON.stringify({ran: ledger.executions.has(requestId)}));
-		if (events.leaving(false)) {
+		if (events.beforeSend(false)) {
 			events.head({status: 200, headers: ['content-length', String(body.byteLength)]});
 			events.data(body);
 			events.end([]);
@@ -168,7 +168,7 @@
 			}, fault === 'paused' ? pausedMs : 1);
 			return uncancellableExchange;
 		},
-		trustIds() {
+		allowConnectionReuse() {
 			// No effect: every exchange has its own connection.
 		},
 		async close() {
@@ -185,7 +185,7 @@
 	};
 
 	return {
-		leaving: events.leaving,
+		beforeSend: events.beforeSend,
 		progress: unlessLost(events.progress),
 		head: unlessLost(events.head),
 		data: unlessLost(events.data),
--- a/packages/standins/src/lib/service/histories/history-caller.ts
+++ b/packages/standins/src/lib/service/histories/history-caller.ts
@@ -1,6 +1,6 @@
 /** An in-memory caller that records the response it gets. */
 import {Buffer} from 'node:buffer';
-import {type AnswerSink, type CallOutcome, outcomeHeader} from 'hickorywalk/orders.js';
+import {type ResponseSink, type CallOutcome, outcomeHeader} from 'hickorywalk/orders.js';
 
 /** What a caller has received in the end. */
 export type CallerView = {
@@ -14,7 +14,7 @@
 };
 
 /** A caller's connection; `disconnect` ends it, as when its VM is lost. */
-export type HistoryCaller = {sink: AnswerSink; view: () => CallerView; disconnect: () => void};
+export type HistoryCaller = {sink: ResponseSink; view: () => CallerView; disconnect: () => void};
 
 /** Creates a caller that reads without backpressure. */
 export function createHistoryCaller(): HistoryCaller {
--- a/packages/standins/src/test/service-resets.test.ts
+++ b/packages/standins/src/test/service-resets.test.ts
@@ -19,7 +19,7 @@
 		service = await startServiceStandin();
 		spare = await startServiceStandin();
 		// Uses a new connection for each exchange, so that each one gets its fault.
-		const transport = {...createUndiciTransport(), trustIds: disableConnectionReuse};
+		const transport = {...createUndiciTransport(), allowConnectionReuse: disableConnectionReuse};
 		front = await startFront({urls: [service.url, spare.url], transport});
 	});
 	after(async () => {
