--- a/packages/traces/src/bench.ts
+++ b/packages/traces/src/bench.ts
@@ -3,7 +3,7 @@
 
 type Bench = (args: string[]) => Promise<void>;
 
-/** Every benchmark prints JSON lines; its own page says what they mean. */
+/** Benchmarks by name. Each prints JSON lines, which its page in the docs explains. */
 const benches: Record<string, Bench> = {
 	async configuration() {
 		const {runConfigurationBench} = await import('./lib/bench/configuration-bench.js');
--- a/packages/traces/src/lib/bench/child-process.ts
+++ b/packages/traces/src/lib/bench/child-process.ts
@@ -1,4 +1,4 @@
-/** Starts the command line for a benchmark, and reads what its processes cost. */
+/** Starts `hickorywalk` processes for a benchmark and reads their processor time and memory. */
 import {type ChildProcess, spawn} from 'node:child_process';
 import {once} from 'node:events';
 import {readFile} from 'node:fs/promises';
@@ -8,13 +8,14 @@
 
 const commandLine = fileURLToPath(new URL('../../../../daemon/dist/hickorywalk.js', import.meta.url));
 const ticksPerSecond = 100;
+/** Fields of /proc/PID/stat, counted from 0 after the command name. */
 const userTicksField = 11;
 const systemTicksField = 12;
 
-/** A process that listens. */
+/** A running process that listens at `url`. */
 export type BenchProcess = {
 	url: string;
-	/** Seconds of processor time since its start. */
+	/** Processor time since the start, in seconds. */
 	cpuSeconds: () => Promise<number>;
 	/** Resident memory in MiB. */
 	residentMib: () => Promise<number>;
@@ -45,7 +46,7 @@
 
 async function addressOf(child: ChildProcess): Promise<string> {
 	if (child.stdout === null) {
-		throw new Error('The process has no output to read.');
+		throw new Error('The process has no standard output to read its address from.');
 	}
 
 	for await (const line of createInterface({input: child.stdout})) {
@@ -55,5 +56,5 @@
 		}
 	}
 
-	throw new Error('The process ended before it listened.');
+	throw new Error('The process exited before it printed the address it listens at.');
 }
--- a/packages/traces/src/lib/bench/configuration-bench.ts
+++ b/packages/traces/src/lib/bench/configuration-bench.ts
@@ -1,7 +1,7 @@
 /**
- * What one change of configuration costs each daemon, at today's and the
- * target's size of document: bytes on the wire in the real encoding and
- * time of the real code. Prints JSON lines.
+ * Measures the cost of one configuration change per daemon, for a document of
+ * today's size and one of the target size: bytes on the wire in the real
+ * encoding, and run time of the real code. Prints JSON lines.
  */
 import {
 	answerRequest, applyDelta, createStepHistory, deltaTo, emptySectionSet, type FleetDocument, type HeldConfiguration, parseDocument, type StepHistory,
@@ -29,7 +29,6 @@
 const rounds = 20;
 const pollersPerDataCentre = 2;
 
-/** Runs the benchmark. */
 export async function runConfigurationBench(): Promise<void> {
 	for (const size of sizes) {
 		console.log(JSON.stringify(measure(size)));
--- a/packages/traces/src/lib/bench/counting-table.ts
+++ b/packages/traces/src/lib/bench/counting-table.ts
@@ -1,9 +1,8 @@
-/** A table in memory that counts calls. */
+/** An in-memory table that counts reads and written rows. */
 import {type TableClient, type TableRow} from 'hickorywalk/platform.js';
 
 const mostRows = 1000;
 
-/** Creates an empty table. */
 export function createCountingTable(): TableClient & {writes: number; reads: number} {
 	const rows = new Map<string, TableRow>();
 	const versionOf = (key: string) => rows.get(key)?.version ?? 0;
--- a/packages/traces/src/lib/bench/fairness-bench.ts
+++ b/packages/traces/src/lib/bench/fairness-bench.ts
@@ -1,8 +1,9 @@
 /**
- * What a flood of one workspace does to the others: the same small workspaces
- * alone, and beside a large one that sends several times its rate, through the
- * real queue and through one in order of arrival, on a paused clock. Engines
- * are fakes that compute prompts in chunks, highest priority first.
+ * Measures how a flood from one workspace affects the others: the same small
+ * workspaces alone, and beside a large one that sends several times its rate,
+ * through the real fair queue and through a queue in order of arrival, on a
+ * fake clock. The engines are fakes that compute prompts in chunks, highest
+ * priority first.
  */
 import FakeTimers from '@sinonjs/fake-timers';
 import {build, type Histogram} from 'hdr-histogram-js';
@@ -23,14 +24,14 @@
 const smallLoads: Load[] = Array.from({length: 4}, (_, index) => ({
 	workspace: `small-${index}`, perSecond: 2, promptTokens: 4000, outputTokens: 64,
 }));
-/** At its own rate the large workspace takes half of what the engines compute. */
+/** At its own rate the large workspace uses half of the engines' prefill capacity. */
 const largeLoad: Load = {
 	workspace: 'large', perSecond: 8, promptTokens: 10_000, outputTokens: 64,
 };
 
 type Job = {priority: number; order: number; left: number; done: () => void};
 
-/** An engine with slots, chunked prompt work by priority, and steady decoding. */
+/** Creates an engine with a fixed number of slots, chunked prefill ordered by priority, and a constant decoding speed. */
 function createFakeEngine() {
 	const jobs: Job[] = [];
 	const waiting: Array<{priority: number; order: number; start: () => void}> = [];
@@ -68,7 +69,7 @@
 
 	return {
 		load: () => running + waiting.length,
-		/** Calls `onFirst` at the first token; resolves at the end. */
+		/** Calls `onFirst` at the first token; resolves after the last one. */
 		async run(load: Load, priority: number, onFirst: () => void): Promise<void> {
 			order++;
 			const own = order;
@@ -122,9 +123,9 @@
 	}
 }
 
-type Setting = {queue: FairQueue; fleet: Array<ReturnType<typeof createFakeEngine>>; fair: boolean; result: Result};
+type RunContext = {queue: FairQueue; fleet: Array<ReturnType<typeof createFakeEngine>>; fair: boolean; result: Result};
 
-async function serve({queue, fleet, fair, result}: Setting, load: Load): Promise<void> {
+async function serve({queue, fleet, fair, result}: RunContext, load: Load): Promise<void> {
 	const arrivedAt = performance.now();
 	const cost = load.promptTokens + load.outputTokens;
 	const turn = await queue.enter({
@@ -136,12 +137,12 @@
 		return;
 	}
 
-	let least = fleet[0];
+	let leastLoaded = fleet[0];
 	for (const engine of fleet) {
-		least = engine.load() < least.load() ? engine : least;
+		leastLoaded = engine.load() < leastLoaded.load() ? engine : leastLoaded;
 	}
 
-	await least.run(load, turn.ticket.priority, () => {
+	await leastLoaded.run(load, turn.ticket.priority, () => {
 		if (isSmall) {
 			result.small.recordValue(Math.round(performance.now() - arrivedAt));
 		}
@@ -152,7 +153,7 @@
 
 const flood = [...smallLoads, {...largeLoad, perSecond: largeLoad.perSecond * floodFactor}];
 
-/** Each case: its loads, and whether turns go by workspace. */
+/** Loads of each case, and whether the queue is fair between workspaces or in order of arrival. */
 const cases = {
 	alone: {loads: smallLoads, fair: true},
 	'beside the large one at its rate': {loads: [...smallLoads, largeLoad], fair: true},
--- a/packages/traces/src/lib/bench/global-bucket.ts
+++ b/packages/traces/src/lib/bench/global-bucket.ts
@@ -1,24 +1,24 @@
-/** The one global bucket that a fleet's limits are measured against. Times are in milliseconds. */
+/** A single global token bucket, with which a fleet's limits are compared. Times are in milliseconds. */
 import {type WorkspaceLimit} from 'hickorywalk/limits.js';
 
 type Waiting = {tokens: number; grant: () => void};
 
-/** A bucket that sees every request at once. */
+/** A token bucket that sees every request of the fleet without delay. */
 export type GlobalBucket = {
-	/** Calls `grant` now or within `longestWaitMs`; false when it refuses at once. */
+	/** Calls `grant` now or within `longestWaitMs`; returns false when the request is refused, which is decided at once. */
 	reserve: (tokens: number, longestWaitMs: number, grant: () => void) => boolean;
 	giveBack: (tokens: number) => void;
-	/** Grants what has become due. */
+	/** Grants the queued reservations that the level now covers. */
 	serve: () => void;
 };
 
 const msPerSecond = 1000;
 
-/** Creates a full bucket on the clock of the runtime. */
+/** Creates a full bucket that takes the time from `performance.now()`. */
 export function createGlobalBucket(limit: WorkspaceLimit): GlobalBucket {
 	let level = limit.burstTokens;
 	let at = performance.now();
-	let line: Waiting[] = [];
+	let queue: Waiting[] = [];
 
 	function refill(): void {
 		const now = performance.now();
@@ -28,10 +28,10 @@
 
 	function serve(): void {
 		refill();
-		while (line.length > 0 && level >= line[0].tokens) {
-			level -= line[0].tokens;
-			line[0].grant();
-			line = line.slice(1);
+		while (queue.length > 0 && level >= queue[0].tokens) {
+			level -= queue[0].tokens;
+			queue[0].grant();
+			queue = queue.slice(1);
 		}
 	}
 
@@ -40,7 +40,7 @@
 		reserve(tokens, longestWaitMs, grant) {
 			serve();
 			let needed = tokens;
-			for (const waiting of line) {
+			for (const waiting of queue) {
 				needed += waiting.tokens;
 			}
 
@@ -49,7 +49,7 @@
 				return false;
 			}
 
-			line.push({tokens, grant});
+			queue.push({tokens, grant});
 			serve();
 			return true;
 		},
@@ -60,7 +60,7 @@
 	};
 }
 
-/** Follows charges and tells by how much any window went beyond burst + rate x t. */
+/** Tracks charges and gives the most tokens by which any window of length t exceeded burst + rate x t. */
 export function createExcessMeter(limit: WorkspaceLimit): {charge: (tokens: number) => void; excess: () => number} {
 	let level = limit.burstTokens;
 	let at = performance.now();
--- a/packages/traces/src/lib/bench/key-path.ts
+++ b/packages/traces/src/lib/bench/key-path.ts
@@ -1,4 +1,4 @@
-/** What a call with a key costs more than one without, over loopback sockets. */
+/** Measures the added latency of a call with an idempotency key over one without, over loopback sockets. */
 import {Buffer} from 'node:buffer';
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {startPlatformStandin, startServiceStandin} from '@hickorywalk/standins';
@@ -8,9 +8,10 @@
 import {createHttpPlatform} from 'hickorywalk/platform.js';
 import {Agent, request} from 'undici';
 
-type Front = {
+type ProxyServer = {
 	url: string;
 	proxy: ServiceProxy;
+	/** Table writes and transactions so far. */
 	use: {writes: number; transactions: number};
 	close: () => Promise<void>;
 };
@@ -25,7 +26,7 @@
 		retryBudget: {
 			take: () => true,
 			deposit() {
-				// Nothing fails here.
+				// No call fails in this benchmark.
 			},
 		},
 		directory: () => ({service, endpoints: [endpoint]}),
@@ -37,8 +38,8 @@
 	return {platform, proxy, use};
 }
 
-/** A server with nothing but the proxy, on a table and a service behind real sockets. */
-async function startFront(): Promise<Front> {
+/** Starts a server that runs only the proxy; its table and service are stand-ins behind real sockets. */
+async function startProxyServer(): Promise<ProxyServer> {
 	const standin = await startPlatformStandin();
 	const orders = await startServiceStandin();
 	const endpoint: Endpoint = {
@@ -80,8 +81,8 @@
 const microsPerMs = 1000;
 const body = Buffer.from('{"ribbons":40}');
 
-/** Median of a call in milliseconds, `callers` at a time. */
-async function medianMs(front: Front, orders: number, callers: number, keyPrefix?: string): Promise<number> {
+/** Median latency of a call in milliseconds, with `callers` concurrent callers. */
+async function medianMs(server: ProxyServer, orders: number, callers: number, keyPrefix?: string): Promise<number> {
 	const agent = new Agent({connections: callers});
 	const histogram = build();
 	let started = 0;
@@ -90,7 +91,7 @@
 			const index = started++;
 			const key: Record<string, string> = keyPrefix === undefined ? {} : {'idempotency-key': `${keyPrefix}-${index}`};
 			const before = performance.now();
-			const res = await request(`${front.url}/orders`, {
+			const res = await request(`${server.url}/orders`, {
 				method: 'POST', body, headers: {'content-type': 'application/json', ...key}, dispatcher: agent,
 			});
 			await res.body.text();
@@ -103,22 +104,22 @@
 	return histogram.getValueAtPercentile(50) / microsPerMs;
 }
 
-/** Measures the key path with so many callers at a time. */
+/** Measures the key path with `callers` concurrent callers. */
 export async function measureKeyPath(orders: number, callers: number) {
-	const front = await startFront();
-	await medianMs(front, orders, callers, 'warm');
-	await medianMs(front, orders, callers);
-	const withoutKey = await medianMs(front, orders, callers);
-	const before = {...front.use};
-	const withKey = await medianMs(front, orders, callers, 'key');
-	await front.close();
+	const server = await startProxyServer();
+	await medianMs(server, orders, callers, 'warm');
+	await medianMs(server, orders, callers);
+	const withoutKey = await medianMs(server, orders, callers);
+	const before = {...server.use};
+	const withKey = await medianMs(server, orders, callers, 'key');
+	await server.close();
 	return {
 		callers,
 		orders,
 		p50_ms: withKey,
 		p50_ms_without_key: withoutKey,
 		key_path_p50_ms: Number((withKey - withoutKey).toFixed(3)),
-		writes_per_order: (front.use.writes - before.writes) / orders,
-		transactions_per_order: (front.use.transactions - before.transactions) / orders,
+		writes_per_order: (server.use.writes - before.writes) / orders,
+		transactions_per_order: (server.use.transactions - before.transactions) / orders,
 	};
 }
--- a/packages/traces/src/lib/bench/limits-bench.ts
+++ b/packages/traces/src/lib/bench/limits-bench.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run bench -- limits`: the same requests to a fleet of limiters and to
- * one global bucket, in one process on a paused clock. Only the limits' real
- * code runs, over links that delay and encode but lose nothing.
+ * `npm run bench -- limits`: sends the same requests to a fleet of limiters and
+ * to one global bucket, in one process on a fake clock. Only the limiters' real
+ * code runs, over simulated links that encode and delay messages but lose none.
  */
 import process from 'node:process';
 import {create, toBinary} from '@bufbuild/protobuf';
@@ -30,7 +30,7 @@
 
 type Peer = {name: string; region: number; limiter: FleetTokenLimiter};
 
-/** Runs the sizes named by the arguments, all by default; `--seed N` takes another trace, `--seconds N` and `--warm-up N` other times. */
+/** Runs the fleet sizes given as arguments, by default all. `--seed N` selects another trace; `--seconds N` and `--warm-up N` override the durations. */
 export async function runLimitsBench(args: string[]): Promise<void> {
 	const numberAfter = (flag: string, otherwise: number) => args.includes(flag) ? Number(args[args.indexOf(flag) + 1]) : otherwise;
 	const seed = numberAfter('--seed', 1);
@@ -43,7 +43,7 @@
 	}
 }
 
-/** Runs tasks at given milliseconds of the paused clock. */
+/** Runs tasks at given milliseconds of the fake clock. */
 function createAgenda() {
 	const tasks = new Map<number, Array<() => void>>();
 	return {
@@ -72,7 +72,7 @@
 	const peers = new Map<string, Peer>();
 	const cost = {messages: 0, bytes: 0, nanoseconds: 0n};
 
-	/** Counts the processor time of the limits' code only. */
+	/** Adds the time that limiter code takes to the cost; the simulation around it isn't counted. */
 	function timed<Result>(run: () => Result): Result {
 		const start = process.hrtime.bigint();
 		const result = run();
@@ -180,7 +180,7 @@
 	}
 
 	function count(request: LimitsRequest, granted: boolean, oracleGrants: boolean): void {
-		const isInside = trace.parts[request.workspace] <= 1;
+		const isInside = trace.demandFractions[request.workspace] <= 1;
 		const isWrongful = !granted && oracleGrants;
 		counts.requests += 1;
 		counts.refusals += granted ? 0 : 1;
@@ -192,7 +192,7 @@
 		counts.oracleGranted += oracleGrants ? request.tokens : 0;
 	}
 
-	/** One millisecond of the paused clock. */
+	/** Advances the fake clock by one millisecond. */
 	async function step(withRequests: boolean): Promise<void> {
 		clock.tick(1);
 		agenda.run(now());
--- a/packages/traces/src/lib/bench/limits-trace.ts
+++ b/packages/traces/src/lib/bench/limits-trace.ts
@@ -1,78 +1,77 @@
-/** The requests that the limits' benchmark feeds to the fleet and to the one global bucket. */
+/** Generates the requests that the limits benchmark sends to the fleet and to the global bucket. */
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {type WorkspaceLimit} from 'hickorywalk/limits.js';
 
-/** One size of fleet to measure. */
+/** A fleet size to measure. */
 export type LimitsLoad = {
 	daemons: number;
 	workspaces: number;
 	regions: number;
-	/** Requests a second over all daemons. */
+	/** Requests per second over all daemons. */
 	requestsPerSecond: number;
-	/** Seconds without measurement, in which shares find their holders. */
+	/** Unmeasured seconds at the start, in which the shares of the limits reach their holders. */
 	warmUpSeconds: number;
-	/** Seconds that are measured. */
+	/** Measured seconds. */
 	seconds: number;
 };
 
-/** One request. */
 export type LimitsRequest = {
 	daemon: number;
 	workspace: number;
-	/** Tokens reserved: prompt and longest answer. */
+	/** Reserved tokens: prompt plus longest answer. */
 	tokens: number;
 	usedTokens: number;
 	/** Milliseconds from the grant to the end of the answer. */
 	durationMs: number;
 };
 
-/** Demand as a part of the rate: most are well inside, some close to it, one in twenty far above. */
-const demandParts = [0.5, 0.5, 0.6, 0.6, 0.7, 0.7, 0.8, 0.9, 0.95, 0.6, 0.5, 0.6, 0.7, 0.7, 0.8, 0.5, 0.6, 0.6, 0.7, 4];
-const todayParts = [0.6, 0.9, 0.7, 4, 0.5];
+/** Demand of workspaces as a fraction of their rate: most are well below it, some close to it, one in twenty far above. */
+const largeFleetDemand = [0.5, 0.5, 0.6, 0.6, 0.7, 0.7, 0.8, 0.9, 0.95, 0.6, 0.5, 0.6, 0.7, 0.7, 0.8, 0.5, 0.6, 0.6, 0.7, 4];
+const smallFleetDemand = [0.6, 0.9, 0.7, 4, 0.5];
 const meanTokens = 2500;
 const meanUsedPart = 0.75;
 const secondsOfBurst = 20;
-const shortestRate = 500;
+const lowestTokensPerSecond = 500;
 const msPerSecond = 1000;
 
-/** What a trace consists of. */
+/** A trace: the limits of its workspaces and its requests. */
 export type LimitsTrace = {
 	limits: WorkspaceLimit[];
-	/** Demand of each workspace as a part of its rate. */
-	parts: number[];
-	/** Requests that come in within one millisecond; call it once for each, in order. */
+	/** Demand of each workspace as a fraction of its rate. */
+	demandFractions: number[];
+	/** Returns the requests of the next millisecond; call it once per millisecond. */
 	next: () => LimitsRequest[];
 	random: () => number;
 };
 
-/** Creates the trace of a seed. */
+/** Creates a trace; equal seeds give equal traces. */
 export function createLimitsTrace(load: LimitsLoad, seed: number): LimitsTrace {
 	const generator = xoroshiro128plus(seed);
 	const random = () => uniformFloat64(generator);
 	const cumulative: number[] = [];
 	let sum = 0;
 	for (let index = 0; index < load.workspaces; index += 1) {
-		// A few large workspaces and many small ones.
+		// Zipf-like sizes: a few large workspaces and many small ones.
 		sum += 1 / ((index + 1) ** 0.8);
 		cumulative.push(sum);
 	}
 
-	const parts = cumulative.map((_, index) => load.workspaces <= todayParts.length ? todayParts[index] : demandParts[index % demandParts.length]);
+	const demandFractions = cumulative.map((_, index) => load.workspaces <= smallFleetDemand.length ? smallFleetDemand[index] : largeFleetDemand[index % largeFleetDemand.length]);
 	const limits = cumulative.map((upTo, index) => {
 		const share = (upTo - (cumulative[index - 1] ?? 0)) / sum;
 		const demand = share * load.requestsPerSecond * meanTokens * meanUsedPart;
-		const tokensPerSecond = Math.max(shortestRate, Math.round(demand / parts[index]));
+		const tokensPerSecond = Math.max(lowestTokensPerSecond, Math.round(demand / demandFractions[index]));
 		return {name: `workspace-${index}`, tokensPerSecond, burstTokens: tokensPerSecond * secondsOfBurst};
 	});
 
 	function pickWorkspace(): number {
-		const mark = random() * sum;
+		const target = random() * sum;
 		let low = 0;
 		let high = cumulative.length - 1;
 		while (low < high) {
 			const middle = Math.floor((low + high) / 2);
-			if (cumulative[middle] < mark) {
+			if (cumulative[middle] < target) {
 				low = middle + 1;
 			} else {
 				high = middle;
@@ -98,11 +97,11 @@
 	let due = 0;
 	return {
 		limits,
-		parts,
+		demandFractions,
 		random,
 		next() {
 			const requests: LimitsRequest[] = [];
-			// Exponential gaps: arrivals that know nothing of each other.
+			// Exponential gaps make the arrivals independent of each other.
 			due += load.requestsPerSecond / msPerSecond;
 			while (due > 0) {
 				requests.push(createRequest());
--- a/packages/traces/src/lib/bench/links-bench.ts
+++ b/packages/traces/src/lib/bench/links-bench.ts
@@ -1,7 +1,8 @@
 /**
- * Processor time of links between daemons: real streams on loopback, both ends
- * in this process, one message a second each way and link, beside links that
- * carry only pings. Prints JSON lines; it takes some 20 s of real time.
+ * Measures the processor time of links between daemons: real streams on
+ * loopback with both ends in this process, one and ten messages a second each
+ * way on each link, compared with links that carry only pings. Prints JSON
+ * lines; each number of links takes about 20 s of real time.
  */
 import process from 'node:process';
 import {setTimeout as pause} from 'node:timers/promises';
@@ -13,7 +14,6 @@
 const warmUpMs = 1500;
 const messagesPerSecond = 10;
 
-/** Runs the benchmark. */
 export async function runLinksBench(): Promise<void> {
 	for (const links of linkCounts) {
 		console.log(JSON.stringify(await measure(links)));
@@ -31,7 +31,7 @@
 		exchange(hub, spokes);
 	}, messagesPerSecond);
 	await Promise.all([hub, ...spokes].map(async network => network.close()));
-	// Each exchange puts one batch on each link each way, besides the pings.
+	// Each exchange sends one batch each way on each link, in addition to the pings.
 	return {
 		links,
 		idle_ms_per_s: idleMs,
--- a/packages/traces/src/lib/bench/membership-bench.ts
+++ b/packages/traces/src/lib/bench/membership-bench.ts
@@ -1,10 +1,10 @@
 /**
- * What membership costs each daemon at 9, 65 and 650 daemons, all in this
- * process over links in memory on the paused clock. Bytes are those of the
+ * Measures the cost of membership per daemon at 9, 65 and 650 daemons, all in
+ * this process over in-memory links on a fake clock. Bytes are those of the
  * real encoding; processor time is that of the membership code, without the
  * streams (see the `links` benchmark). Prints JSON lines.
  *
- * `slope` is the growth of bytes per daemon and second for each further daemon.
+ * `slope` is the growth of bytes per daemon and second for each added daemon.
  */
 import process from 'node:process';
 import FakeTimers, {type Clock} from '@sinonjs/fake-timers';
@@ -24,7 +24,6 @@
 const seconds = 10;
 const longestWaitMs = 30_000;
 
-/** Runs the benchmark. */
 export async function runMembershipBench(): Promise<void> {
 	const cpuUsage = process.cpuUsage.bind(process);
 	let before: {daemons: number; bytes: number} | undefined;
@@ -55,7 +54,7 @@
 	const after = {...fleet.figures};
 	const perDaemonAndSecond = (total: number) => total / size.daemons / seconds;
 	const heard = fleet.memberships.map(membership => membership.reach().heard);
-	const change = await timeChange(fleet, clock);
+	const change = await measureLeavingPropagation(fleet, clock);
 	for (const membership of fleet.memberships) {
 		membership.stop();
 	}
@@ -72,8 +71,8 @@
 	};
 }
 
-/** Milliseconds until every daemon knows that the last one is leaving; the longest wait when some never learned. */
-async function timeChange(fleet: Fleet, clock: Clock): Promise<number> {
+/** Milliseconds until every daemon knows that the last one is leaving; `longestWaitMs` when some never learn it. */
+async function measureLeavingPropagation(fleet: Fleet, clock: Clock): Promise<number> {
 	const last = fleet.memberships.at(-1);
 	const name = `vm-${fleet.memberships.length - 1}`;
 	last?.setPhase(Phase.LEAVING);
@@ -115,7 +114,7 @@
 			},
 			send: sendFrom(vm.name),
 			setPeers() {
-				// Links in memory know every name.
+				// In-memory links reach every daemon by its name.
 			},
 			peerAddressOf: entry => entry.address,
 			configurationVersion: () => 4711,
--- a/packages/traces/src/lib/bench/orders-bench.ts
+++ b/packages/traces/src/lib/bench/orders-bench.ts
@@ -1,6 +1,7 @@
 /**
- * Benchmark of orders. The first line judges generated histories of faults by
- * executions; the others give the cost of the key path over loopback sockets.
+ * Benchmark of orders. The first line checks generated histories of faults
+ * against the executions that they led to; the others give the cost of the key
+ * path over loopback sockets.
  */
 import {parseArgs} from 'node:util';
 import {
@@ -53,7 +54,7 @@
 	};
 }
 
-async function judgeHistories(histories: number, seed: number): Promise<Verdict> {
+async function checkHistories(histories: number, seed: number): Promise<Verdict> {
 	const pick = pickerOf(seed);
 	let sum: Verdict = {
 		tried: 0, answered: 0, unknown: 0, refused: 0, doubled: 0, lost: 0, untrue_not_run: 0, foreign: 0, writes: 0, transactions: 0,
@@ -70,8 +71,8 @@
 	return sum;
 }
 
-/** Callers at a time, so that intents share transactions. */
-const crowd = 50;
+/** Enough concurrent callers that intents share transactions. */
+const concurrentCallers = 50;
 
 /** Runs the benchmark: `orders [--histories N] [--seed S] [--orders N]`. */
 export async function runOrdersBench(args: string[]): Promise<void> {
@@ -85,12 +86,12 @@
 	});
 	const histories = Number(values.histories);
 	const seed = Number(values.seed);
-	const verdict = await judgeHistories(histories, seed);
+	const verdict = await checkHistories(histories, seed);
 	const alone = await measureKeyPath(Number(values.orders), 1);
 	console.log(JSON.stringify({
 		bench: 'orders', histories, seed, ...verdict, key_path_p50_ms: alone.key_path_p50_ms, writes_per_order: alone.writes_per_order,
 	}));
 	console.log(JSON.stringify({bench: 'orders_key_path', ...alone}));
-	const crowded = await measureKeyPath(Number(values.orders), crowd);
+	const crowded = await measureKeyPath(Number(values.orders), concurrentCallers);
 	console.log(JSON.stringify({bench: 'orders_key_path', ...crowded}));
 }
--- a/packages/traces/src/lib/bench/overhead-bench.ts
+++ b/packages/traces/src/lib/bench/overhead-bench.ts
@@ -1,7 +1,8 @@
 /**
- * What the router adds to a request: the same load against an engine stand-in
- * directly and through a router, in turns in one run, and the processor time
- * of a router that carries one daemon's share of the target load.
+ * Measures the latency that the router adds to a request: the same load goes to
+ * engine stand-ins directly and through a router, alternating in one run. Also
+ * measures the processor time of a router that carries one daemon's share of
+ * the target load.
  */
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
@@ -19,7 +20,7 @@
 const engineCount = 4;
 const rounds = 6;
 const requestsPerRound = 400;
-/** One at a time for the added time, so that no queue is measured; many for requests a second. */
+/** Concurrency for requests per second; added latency is measured with one request at a time, so that it contains no queueing. */
 const manyAtOnce = 16;
 const promptBytes = 16_384;
 const targetRequestsPerSecond = 80;
@@ -47,13 +48,13 @@
 			decodeMs: 0, slots: 512, prefillTokensPerMs: 1e9, cachePieces: 4096,
 		});
 		const engines = await Promise.all(Array.from({length: engineCount}, async () => start('standin', 'engine', '--options', options)));
-		await acceptDocument(platform.url, engines.map(engine => engine.url));
+		await publishDocument(platform.url, engines.map(engine => engine.url));
 		const settings = join(directory, 'router.json');
 		await writeFile(settings, JSON.stringify({
 			name: 'vm-1', dataCentre: 'dc-1', platform: {url: platform.url}, fleetSecret: 'a-secret-for-this-benchmark',
 		}));
 		const router = await start('serve', '--settings', settings);
-		await untilReady(router.url);
+		await waitUntilReady(router.url);
 		const overhead = await measureOverhead(engines.map(engine => engine.url), [router.url]);
 		const target = await measureTarget(router);
 		console.log(JSON.stringify({bench: 'overhead', ...overhead, ...target}));
@@ -64,7 +65,7 @@
 	}
 }
 
-async function acceptDocument(platformUrl: string, engines: string[]): Promise<void> {
+async function publishDocument(platformUrl: string, engines: string[]): Promise<void> {
 	const platform = createHttpPlatform({baseUrl: platformUrl});
 	await createConfigurationStore({platform}).propose({
 		layout: 1,
@@ -86,7 +87,7 @@
 	await platform.close();
 }
 
-async function untilReady(url: string): Promise<void> {
+async function waitUntilReady(url: string): Promise<void> {
 	for (;;) {
 		const res = await request(new URL('/ready', url));
 		await res.body.dump();
@@ -98,7 +99,7 @@
 	}
 }
 
-async function ask(url: string, tokens: number, stream: boolean): Promise<number> {
+async function sendRequest(url: string, tokens: number, stream: boolean): Promise<number> {
 	const res = await request(new URL('/v1/chat/completions', url), {
 		method: 'POST',
 		headers: {authorization: `Bearer ${key}`, 'content-type': 'application/json'},
@@ -126,8 +127,8 @@
 		while (left > 0) {
 			left--;
 			const sentAt = performance.now();
-			// The engines take turns directly too, so that both ways have as many behind them.
-			await ask(load.urls[left % load.urls.length], 1, false);
+			// Direct requests also rotate over the engines, so that both paths use the same number of them.
+			await sendRequest(load.urls[left % load.urls.length], 1, false);
 			load.latency.recordValue(Math.round((performance.now() - sentAt) * microPerMs));
 			load.requests++;
 		}
@@ -164,7 +165,7 @@
 	};
 }
 
-/** One daemon's share of the target load: so many requests a second, streamed. */
+/** Sends one daemon's share of the target load as streamed requests, and measures the router's cost. */
 async function measureTarget(router: BenchProcess) {
 	const cpuBefore = await router.cpuSeconds();
 	const startedAt = performance.now();
@@ -173,7 +174,7 @@
 	for (let count = 0; count < total; count++) {
 		const dueMs = (count / targetRequestsPerSecond) * 1000;
 		await delay(Math.max(0, dueMs - (performance.now() - startedAt)));
-		answers.push(ask(router.url, targetTokensPerRequest, true));
+		answers.push(sendRequest(router.url, targetTokensPerRequest, true));
 	}
 
 	await Promise.all(answers);
--- a/packages/traces/src/lib/bench/policy-bench.ts
+++ b/packages/traces/src/lib/bench/policy-bench.ts
@@ -1,10 +1,10 @@
 /**
  * `npm run bench -- policy`: replays the shipped traces with the product's
- * placement and the baselines, prints one JSON line for each pair, then the
- * table. `--write` writes the table and plots to docs/, `--write-traces` makes
- * the shipped traces anew, `--traces a,b` and `--policies a,b` choose,
- * `--options JSON` tries other options of the placer, `--decisions` times
- * decisions instead.
+ * placement and the baselines, prints one JSON line for each trace and policy,
+ * then the table. `--write` writes the table and plots to docs/,
+ * `--write-traces` regenerates the shipped traces, `--traces a,b` and
+ * `--policies a,b` select some, `--options JSON` overrides options of the
+ * placer, `--decisions` times placement decisions instead.
  */
 import {mkdir, readFile, writeFile} from 'node:fs/promises';
 import {fileURLToPath} from 'node:url';
@@ -21,11 +21,11 @@
 const tracesDirectory = fileURLToPath(new URL('../../../traces/', import.meta.url));
 const docsDirectory = fileURLToPath(new URL('../../../../../docs/', import.meta.url));
 
-/** Between these lines of docs/policy.md stands the measured table. */
+/** The measured table stands between these lines of docs/policy.md. */
 const tableBegin = '<!-- table: written by `npm run bench -- policy --write` -->';
 const tableEnd = '<!-- end of table -->';
 
-/** The path of a shipped trace. */
+/** Path of the file of a shipped trace. */
 export const pathOfTrace = (name: string): string => `${tracesDirectory}${name}.ndjson.gz`;
 
 const writeTraces = async (names: readonly string[]): Promise<void> => {
@@ -63,7 +63,6 @@
 	return results;
 };
 
-/** Runs the benchmark. */
 export const runPolicyBench = async (args: string[]): Promise<void> => {
 	const {values} = parseArgs({
 		args,
--- a/packages/traces/src/lib/bench/policy-decisions.ts
+++ b/packages/traces/src/lib/bench/policy-decisions.ts
@@ -1,4 +1,4 @@
-/** Times decisions of the placer at the size that lies ahead. */
+/** Times decisions of the placer at the target fleet size. */
 import {type EngineLoad, type PlacementRequest} from 'hickorywalk/gateway.js';
 import {createPlacer, type PlacementEndpoint} from 'hickorywalk/routing.js';
 import {createChance, type Chance} from '../replay/generate-traffic.js';
@@ -10,7 +10,7 @@
 const warmUpCount = 20_000;
 const pieceTokens = 1024;
 
-/** What the timing gives, in microseconds. */
+/** Measured times: `_us` in microseconds, `_ms` in milliseconds. */
 export type DecisionTimes = {
 	bench: 'decisions';
 	services: number;
@@ -23,11 +23,11 @@
 	remembered_prefixes: number;
 };
 
-const largestHalf = 0xFF_FF_FF_FF;
+const maxUint32 = 0xFF_FF_FF_FF;
 
-const hash = (chance: Chance): bigint => (BigInt(chance.whole(0, largestHalf)) * (2n ** 32n)) + BigInt(chance.whole(0, largestHalf));
+const hash = (chance: Chance): bigint => (BigInt(chance.whole(0, maxUint32)) * (2n ** 32n)) + BigInt(chance.whole(0, maxUint32));
 
-/** Requests over preambles of which few are hot, each with a tail of its own. */
+/** Generates requests over shared preambles, a few of them hot; each request ends in pieces of its own. */
 const generateRequests = (chance: Chance): PlacementRequest[] => {
 	const preambles = Array.from({length: preamblesEach * serviceCount}, () => Array.from({length: 5}, () => hash(chance)));
 	return Array.from({length: requestCount}, () => {
@@ -44,7 +44,7 @@
 	incarnation: 'p1', version: 'w1', running: chance.whole(0, 8), waiting: 0, pendingPromptTokens: chance.whole(0, 4000),
 });
 
-/** Places, starts and finishes requests one after the other. */
+/** Places, starts and finishes requests one after another, and times it. */
 export const timeDecisions = (): DecisionTimes => {
 	const chance = createChance(1);
 	const placer = createPlacer({random: () => chance.between(0, 1)});
--- a/packages/traces/src/lib/bench/policy-plots.ts
+++ b/packages/traces/src/lib/bench/policy-plots.ts
@@ -1,4 +1,4 @@
-/** Plots of the policy benchmark as SVG, by vega. */
+/** Renders the plots of the policy benchmark as SVG, with vega. */
 import * as vega from 'vega';
 import {type PolicyResult} from './policy-table.js';
 
@@ -15,14 +15,14 @@
 ];
 
 const groupWidth = 110;
-const smallestShown = 10;
+const logScaleMin = 10;
 
 const heightScales: Record<Plot['scale'], vega.Scale> = {
 	linear: {
 		name: 'y', type: 'linear', domain: {data: 'results', field: 'value'}, range: 'height', nice: true, zero: true,
 	},
 	log: {
-		name: 'y', type: 'log', domain: {data: 'results', field: 'value'}, range: 'height', nice: true, domainMin: smallestShown,
+		name: 'y', type: 'log', domain: {data: 'results', field: 'value'}, range: 'height', nice: true, domainMin: logScaleMin,
 	},
 };
 
@@ -71,7 +71,7 @@
 	};
 };
 
-/** Renders all plots; each with the name of its measure. */
+/** Renders all plots; returns pairs of file name, without extension, and SVG. */
 export const plotPolicies = async (results: readonly PolicyResult[]): Promise<Array<[string, string]>> => {
 	const rendered: Array<[string, string]> = [];
 	for (const plot of plots) {
--- a/packages/traces/src/lib/bench/policy-table.ts
+++ b/packages/traces/src/lib/bench/policy-table.ts
@@ -1,13 +1,13 @@
-/** The results of the policy benchmark as a table, and how they meet the goals. */
+/** Formats the results of the policy benchmark as a table, and compares them with the goals. */
 import {type Measures} from '../replay/measures.js';
 import {type PolicyName} from '../replay/policies.js';
 
-/** One trace replayed with one policy. */
+/** Result of one trace replayed with one policy. */
 export type PolicyResult = Measures & {trace: string; policy: PolicyName};
 
-const ours: PolicyName = 'hickorywalk';
+const productPolicy: PolicyName = 'hickorywalk';
 
-/** Measures that a baseline must not be better in by more than the margin. */
+/** Measures on which no baseline may be better by more than `margin`, with the better direction. */
 const compared = {
 	hit_rate: 'higher',
 	ttft_p50_ms: 'lower',
@@ -41,7 +41,7 @@
 	result.wrongful_refusals,
 ].join(' | ');
 
-/** Where a baseline is better than the product by more than the margin. */
+/** Lists the measures on which a baseline is better than the product by more than `margin`. */
 const listLosses = (own: PolicyResult, others: readonly PolicyResult[]): string[] => {
 	const losses: string[] = [];
 	for (const other of others) {
@@ -69,7 +69,7 @@
 	return lines;
 };
 
-/** The table in Markdown, with the goals below it. */
+/** Formats the table in Markdown, with the goals below it. */
 export const formatPolicyTable = (results: readonly PolicyResult[]): string => {
 	const lines = [
 		'| trace | policy | hit rate | of best | p50 ms | p95 ms | p99 ms | p99 of worst workspace, ms | wasted | worst / median | refusals |',
@@ -79,8 +79,8 @@
 		'Goals: hit rate at least 0.95 of the best possible; p99 to first token on the evening trace at most 0.50 of the best baseline\'s; no baseline better by more than 3% on any measure.',
 		'',
 	];
-	for (const own of results.filter(result => result.policy === ours)) {
-		lines.push(...goalsOf(own, results.filter(other => other.trace === own.trace && other.policy !== ours)));
+	for (const own of results.filter(result => result.policy === productPolicy)) {
+		lines.push(...goalsOf(own, results.filter(other => other.trace === own.trace && other.policy !== productPolicy)));
 	}
 
 	return `${lines.join('\n')}\n`;
--- a/packages/traces/src/lib/bench/recovery-bench.ts
+++ b/packages/traces/src/lib/bench/recovery-bench.ts
@@ -1,11 +1,11 @@
 /**
- * How soon restarted daemons serve, and what that asks of the store, at 9, 65
- * and 650 daemons: real followers and recovery over links in memory on the
- * paused clock. Prints JSON lines.
+ * Measures how soon restarted daemons serve, and the reads that this costs the
+ * store, at 9, 65 and 650 daemons: real configuration followers and recovery
+ * over in-memory links on a fake clock. Prints JSON lines.
  *
- * - `herd`: all restart at once, the store takes 20 ms.
+ * - `herd`: all daemons restart at once; a call to the store takes 20 ms.
  * - `herd-slow-store`: the same with 400 ms.
- * - `one-in-outage`: one restarts while table and objects have been down for an hour.
+ * - `one-in-outage`: one daemon restarts when table and objects have been down for an hour.
  */
 import {Buffer} from 'node:buffer';
 import FakeTimers, {type Clock} from '@sinonjs/fake-timers';
@@ -26,8 +26,8 @@
 type Store = {
 	table: TableClient; objects: ObjectClient; tableReads: number; objectReads: number; delayMs: number; down: boolean;
 };
-type Running = {follower: ConfigurationFollower; recovery: Recovery; timeToServeMs?: number};
-type Fleet = {store: Store; start: (index: number) => Running; stop: (index: number) => void; bytes: () => number};
+type RunningDaemon = {follower: ConfigurationFollower; recovery: Recovery; timeToServeMs?: number};
+type Fleet = {store: Store; start: (index: number) => RunningDaemon; stop: (index: number) => void; bytes: () => number};
 
 const sizes: readonly Size[] = [{daemons: 9, dataCentres: 4}, {daemons: 65, dataCentres: 6}, {daemons: 650, dataCentres: 23}];
 const seed = 1;
@@ -47,14 +47,13 @@
 	},
 	async 'one-in-outage'(fleet: Fleet, size: Size, clock: Clock) {
 		fleet.store.down = true;
-		// An hour of polls of 650 daemons takes long to run; the last minute shows the same.
+		// Simulating an hour of polls by 650 daemons takes long; its last minute shows the same.
 		await clock.tickAsync(size.daemons > 100 ? longestSeconds * secondMs : outageMs);
 		fleet.stop(1);
-		return watch(fleet, () => [fleet.start(1)], clock);
+		return measureRestart(fleet, () => [fleet.start(1)], clock);
 	},
 } as const;
 
-/** Runs the benchmark. */
 export async function runRecoveryBench(): Promise<void> {
 	for (const size of sizes) {
 		for (const [scenario, run] of Object.entries(scenarios)) {
@@ -88,11 +87,11 @@
 		fleet.stop(index);
 	}
 
-	return watch(fleet, () => Array.from({length: size.daemons}, (_, index) => fleet.start(index)), clock);
+	return measureRestart(fleet, () => Array.from({length: size.daemons}, (_, index) => fleet.start(index)), clock);
 }
 
-/** Advances the clock until all are ready, and tells what the busiest second asked of the store. */
-async function watch(fleet: Fleet, start: () => Running[], clock: Clock) {
+/** Advances the clock until all started daemons are ready, at most `longestSeconds`; reports the store's reads in the busiest second. */
+async function measureRestart(fleet: Fleet, start: () => RunningDaemon[], clock: Clock) {
 	const {store} = fleet;
 	const bytesBefore = fleet.bytes();
 	let peakTableReads = 0;
@@ -120,19 +119,19 @@
 function createFleet(size: Size): Fleet {
 	const store = createStore();
 	const handlers = new Map<string, PeerHandlers[]>();
-	const running = new Map<number, Running>();
+	const running = new Map<number, RunningDaemon>();
 	const generator = xoroshiro128plus(seed);
 	let bytes = 0;
 	const names = Array.from({length: size.daemons}, (_, index) => `vm-${index}`);
-	const centres = Array.from({length: size.dataCentres}, (_, centre) => names.filter((_name, index) => index % size.dataCentres === centre));
+	const daemonsByDataCentre = Array.from({length: size.dataCentres}, (_, centre) => names.filter((_name, index) => index % size.dataCentres === centre));
 
-	function start(index: number): Running {
+	function start(index: number): RunningDaemon {
 		const name = names[index];
-		const centre = centres[index % size.dataCentres];
+		const sameDataCentre = daemonsByDataCentre[index % size.dataCentres];
 		const view = {
-			nearby: centre.filter(other => other !== name),
-			distant: names.filter(other => !centre.includes(other)),
-			rank: centre.indexOf(name),
+			nearby: sameDataCentre.filter(other => other !== name),
+			distant: names.filter(other => !sameDataCentre.includes(other)),
+			rank: sameDataCentre.indexOf(name),
 		};
 		const send = (to: string, body: PeerBody) => {
 			bytes += bodySize(body);
@@ -167,7 +166,7 @@
 			snapshotMs: settleMs / 2,
 		});
 		handlers.set(name, [follower.handlers, recovery.handlers]);
-		const one: Running = {follower, recovery};
+		const one: RunningDaemon = {follower, recovery};
 		running.set(index, one);
 		follower.start();
 		recovery.start();
@@ -187,12 +186,12 @@
 	};
 }
 
-async function awaitReady(one: Running): Promise<void> {
+async function awaitReady(one: RunningDaemon): Promise<void> {
 	try {
 		const report = await one.recovery.recover();
 		one.timeToServeMs = report.timeToServeMs;
 	} catch {
-		// Stopped before it was ready; it shows as not ready.
+		// Stopped before it was ready: reported as not ready.
 	}
 }
 
--- a/packages/traces/src/lib/bench/reference-pages.ts
+++ b/packages/traces/src/lib/bench/reference-pages.ts
@@ -1,6 +1,6 @@
 /**
- * Writes docs/reference from the schemas: `npm run bench -- reference`. With
- * `--check` nothing is written, and a page that fell behind ends it with 1.
+ * `npm run bench -- reference`: writes docs/reference from the schemas. With
+ * `--check` an outdated page isn't rewritten but reported, with exit status 1.
  */
 import {readFile, writeFile} from 'node:fs/promises';
 import process from 'node:process';
@@ -10,7 +10,7 @@
 
 const referenceUrl = new URL('../../../../../docs/reference/', import.meta.url);
 
-/** The daemon depends on this package, so its schema is found at run time. */
+/** The daemon depends on this package, so its schema is imported at run time to avoid a cycle. */
 const settingsUrl = new URL('../../../../daemon/dist/lib/settings.js', import.meta.url);
 
 const intros = {
@@ -25,7 +25,7 @@
 		const page = `${intros[name]}\n\n${formatSchemaReference(schemas[name])}\n`;
 		const isSame = await readPage(name) === page;
 		if (!isSame && args.includes('--check')) {
-			console.error(`docs/reference/${name} is behind its schema. Run: npm run bench -- reference`);
+			console.error(`docs/reference/${name} is out of date with its schema. Run: npm run bench -- reference`);
 			process.exitCode = 1;
 			continue;
 		}
--- a/packages/traces/src/lib/burn/burn-page.ts
+++ b/packages/traces/src/lib/burn/burn-page.ts
@@ -1,14 +1,14 @@
 /**
- * The burn report as one HTML file with plots in it. It holds no script and
- * loads nothing, so it can be mailed and kept.
+ * Renders the burn report as one HTML file with inline plots. It contains no
+ * script and loads no resources, so it can be mailed and archived.
  */
 import * as vega from 'vega';
 import {type BurnReport, formatBurnText, type ObjectiveBurn} from 'hickorywalk/observability.js';
 
-/** Objectives that get a plot; the table has them all. */
+/** Number of objectives with a plot; the table lists all of them. */
 const mostPlots = 8;
 
-/** Renders the report. Names are escaped, whatever they hold. */
+/** Renders the report. All names are escaped for HTML. */
 export async function renderBurnPage(report: BurnReport): Promise<string> {
 	const sections: string[] = [];
 	for (const burn of report.objectives.slice(0, mostPlots)) {
@@ -33,7 +33,7 @@
 `;
 }
 
-/** Draws burn by hour over the period; the line at 1 is what the budget allows. */
+/** Renders burn by hour over the period as SVG; the line at 1 marks the burn that the error budget allows. */
 export async function renderPlot(burn: ObjectiveBurn): Promise<string> {
 	const {length} = burn.hours;
 	const values = burn.hours.flatMap((value, index) => value === null ? [] : [{hour: index + 1 - length, burn: value}]);
--- a/packages/traces/src/lib/replay/best-possible.ts
+++ b/packages/traces/src/lib/replay/best-possible.ts
@@ -1,24 +1,25 @@
 /**
- * The best hit rate that any placement could reach on a trace: all memory of
- * all engines as one pool without copies, and eviction that knows the future
- * (Belady's rule: drop what is needed again last, or don't keep it at all).
- * No crash empties it and requests are served in the order of arrival at once.
+ * Computes the best hit rate that any placement could reach on a trace: the
+ * caches of all engines form one pool without duplicates, and eviction knows
+ * the future (Belady's algorithm: evict what is needed again last, or don't
+ * store it at all). No crash empties the pool, and requests are served
+ * immediately, in order of arrival.
  */
 import {type PreparedRequest} from './trace-pieces.js';
 
-/** What the best possible cache does with a trace. */
+/** Result of the best possible cache on a trace. */
 export type BestPossible = {
 	hitRate: number;
 	cachedTokens: number;
 	computedTokens: number;
 };
 
-type Kept = {piece: bigint; nextUse: number; depth: number};
+type HeapEntry = {piece: bigint; nextUse: number; depth: number};
 
-/** The one to drop first is needed last; of a prompt's pieces the deepest. */
-const isDroppedBefore = (a: Kept, b: Kept): boolean => a.nextUse > b.nextUse || (a.nextUse === b.nextUse && a.depth > b.depth);
+/** Order of eviction: what is needed last goes first; of the pieces of one prompt, the deepest. */
+const isDroppedBefore = (a: HeapEntry, b: HeapEntry): boolean => a.nextUse > b.nextUse || (a.nextUse === b.nextUse && a.depth > b.depth);
 
-const pushHeap = (heap: Kept[], item: Kept): void => {
+const pushHeap = (heap: HeapEntry[], item: HeapEntry): void => {
 	let index = heap.length;
 	heap.push(item);
 	while (index > 0) {
@@ -34,7 +35,7 @@
 	heap[index] = item;
 };
 
-const popHeap = (heap: Kept[]): Kept | undefined => {
+const popHeap = (heap: HeapEntry[]): HeapEntry | undefined => {
 	const first = heap[0];
 	const last = heap.pop();
 	if (last === undefined || heap.length === 0) {
@@ -60,7 +61,7 @@
 	return first;
 };
 
-/** For each piece of each request, the next request that has it too. */
+/** For each piece of each request, the index of the next request that has it too; infinity when there is none. */
 const nextUsesOf = (requests: readonly PreparedRequest[]): number[][] => {
 	const next = new Map<bigint, number>();
 	const uses: number[][] = [];
@@ -78,7 +79,7 @@
 export const bestPossible = (requests: readonly PreparedRequest[], capacity: number, pieceTokens: number): BestPossible => {
 	const uses = nextUsesOf(requests);
 	const kept = new Map<bigint, number>();
-	const heap: Kept[] = [];
+	const heap: HeapEntry[] = [];
 	let cachedTokens = 0;
 	let computedTokens = 0;
 	for (const [index, {pieces, promptTokens}] of requests.entries()) {
@@ -102,7 +103,7 @@
 
 		while (kept.size > capacity) {
 			const dropped = popHeap(heap)!;
-			// An entry is out of date when the piece was used or dropped since.
+			// A heap entry is stale when the piece was used or evicted since.
 			if (kept.get(dropped.piece) === dropped.nextUse) {
 				kept.delete(dropped.piece);
 			}
--- a/packages/traces/src/lib/replay/event-queue.ts
+++ b/packages/traces/src/lib/replay/event-queue.ts
@@ -1,21 +1,20 @@
-/** Events of a replay in the order of their times; equal times in the order of adding. */
+/** Runs the events of a replay by time; events of equal time run in the order in which they were added. */
 
-/** Something that happens at a time. */
 type Event = {atMs: number; order: number; run: () => void};
 
-/** A queue of events (binary heap). */
+/** A queue of events, implemented as a binary heap. */
 export type EventQueue = {
-	/** Time of the event that runs, in milliseconds since the start. */
+	/** Time of the running event, in milliseconds since the start. */
 	now: () => number;
-	/** Runs something at a time, or after the events of now when that has passed. */
+	/** Schedules `run` at a time; when that has passed, now, after the events already queued for now. */
 	at: (atMs: number, run: () => void) => void;
-	/** Runs all events; `tick` is told of each new time before. */
+	/** Runs all events; calls `tick` with each new time before its first event. */
 	runAll: (tick: (atMs: number) => void) => void;
 };
 
 const isBefore = (a: Event, b: Event): boolean => a.atMs < b.atMs || (a.atMs === b.atMs && a.order < b.order);
 
-/** Opens an empty queue at time 0. */
+/** Creates an empty queue at time 0. */
 export const createEventQueue = (): EventQueue => {
 	const heap: Event[] = [];
 	let now = 0;
--- a/packages/traces/src/lib/replay/fake-engine.ts
+++ b/packages/traces/src/lib/replay/fake-engine.ts
@@ -1,14 +1,14 @@
 /**
- * A small fake of an engine for replays: a bounded batch, prompts computed one
- * after the other, a prefix cache of limited size that drops the least recently
- * used piece, and load as engines report it. It comes back empty from a crash.
+ * A simple fake of an engine for replays: a bounded batch, prompts computed one
+ * after another, a prefix cache of limited size that evicts the least recently
+ * used piece, and load as engines report it. After a crash its cache is empty.
  */
 import {type EngineLoad} from 'hickorywalk/gateway.js';
 import {type EventQueue} from './event-queue.js';
 import {type PreparedRequest} from './trace-pieces.js';
 import {type TraceEndpoint} from './trace-format.js';
 
-/** What the engine tells of one request. */
+/** Callbacks for the events of one request. */
 export type EngineListener = {
 	/** The first token is ready. */
 	firstToken: (cachedTokens: number) => void;
@@ -18,16 +18,16 @@
 	crashed: () => void;
 };
 
-/** The fake. */
+/** A fake engine. */
 export type FakeEngine = {
 	endpoint: TraceEndpoint;
 	isUp: () => boolean;
 	load: () => EngineLoad;
-	/** Takes a request; the returned function cancels it. */
+	/** Submits a request; the returned function cancels it. */
 	submit: (prepared: PreparedRequest, listener: EngineListener) => () => void;
-	/** Stops at once and comes back empty after so many milliseconds. */
+	/** Stops immediately and restarts with an empty cache after `downMs` milliseconds. */
 	crash: (downMs: number) => void;
-	/** Called with the pieces that left the cache. */
+	/** Called with the pieces that were evicted from the cache. */
 	onEvicted: (pieces: bigint[], incarnation: string) => void;
 	/** Prompt tokens found in the cache and computed so far. */
 	totals: {cachedTokens: number; computedTokens: number};
@@ -36,24 +36,24 @@
 type Job = {
 	prepared: PreparedRequest;
 	listener: EngineListener;
-	/** Prompt tokens to compute, as far as known. */
+	/** Prompt tokens still to compute; an estimate until the prompt is started. */
 	missingTokens: number;
-	/** Ended, cancelled or lost in a crash. */
-	over: boolean;
+	/** Finished, cancelled or lost in a crash. */
+	ended: boolean;
 };
 
-/** How much a full batch slows both phases down. */
+/** Share by which a full batch lengthens prefill and decoding. */
 const fullBatchSlowdown = 0.5;
 
-/** Opens an idle engine with an empty cache. */
+/** Creates an idle engine with an empty cache. */
 export const createFakeEngine = (endpoint: TraceEndpoint, pieceTokens: number, queue: EventQueue): FakeEngine => {
-	/** Insertion order is the order of use. */
+	/** In order of last use, the least recently used piece first. */
 	let cache = new Set<bigint>();
 	let waiting: Job[] = [];
 	let running = new Set<Job>();
 	let prefill: Job[] = [];
 	let computing = false;
-	let process = 1;
+	let incarnationNumber = 1;
 	let up = true;
 	let version = '';
 
@@ -68,7 +68,7 @@
 		return count * pieceTokens;
 	};
 
-	/** Deep pieces first, so that the shallow ones, shared by more, stay longest. */
+	/** Stores deep pieces first, so that the shallow ones, which more requests share, are evicted last. */
 	const store = (pieces: readonly bigint[]): void => {
 		for (const piece of pieces.toReversed()) {
 			cache.delete(piece);
@@ -91,7 +91,7 @@
 	};
 
 	const finish = (job: Job): void => {
-		job.over = true;
+		job.ended = true;
 		running.delete(job);
 		admit();
 	};
@@ -99,7 +99,7 @@
 	const decode = (job: Job): void => {
 		const durationMs = job.prepared.request.outputTokens * endpoint.decodeMsPerToken * slowdown();
 		queue.at(queue.now() + durationMs, () => {
-			if (!job.over) {
+			if (!job.ended) {
 				finish(job);
 				job.listener.done(engine.load());
 			}
@@ -113,7 +113,7 @@
 			return;
 		}
 
-		if (job.over) {
+		if (job.ended) {
 			compute();
 			return;
 		}
@@ -121,9 +121,9 @@
 		computing = true;
 		const cachedTokens = cachedTokensOf(job.prepared.pieces);
 		job.missingTokens = job.prepared.promptTokens - cachedTokens;
-		const ofProcess = process;
+		const startedIncarnation = incarnationNumber;
 		queue.at(queue.now() + (job.missingTokens * 1000 / endpoint.prefillTokensPerSecond * slowdown()), () => {
-			if (ofProcess !== process) {
+			if (startedIncarnation !== incarnationNumber) {
 				return;
 			}
 
@@ -131,7 +131,7 @@
 			engine.totals.computedTokens += job.missingTokens;
 			job.missingTokens = 0;
 			store(job.prepared.pieces);
-			if (!job.over) {
+			if (!job.ended) {
 				job.listener.firstToken(cachedTokens);
 				decode(job);
 			}
@@ -165,17 +165,17 @@
 		endpoint,
 		isUp: () => up,
 		load: () => ({
-			incarnation: `${endpoint.name}/${process}`, version, running: running.size, waiting: waiting.length, pendingPromptTokens: pendingTokens(),
+			incarnation: `${endpoint.name}/${incarnationNumber}`, version, running: running.size, waiting: waiting.length, pendingPromptTokens: pendingTokens(),
 		}),
 		submit(prepared, listener) {
 			version = prepared.request.version;
 			const job: Job = {
-				prepared, listener, missingTokens: prepared.promptTokens - cachedTokensOf(prepared.pieces), over: false,
+				prepared, listener, missingTokens: prepared.promptTokens - cachedTokensOf(prepared.pieces), ended: false,
 			};
 			waiting.push(job);
 			admit();
 			return () => {
-				if (!job.over) {
+				if (!job.ended) {
 					waiting = waiting.filter(other => other !== job);
 					finish(job);
 				}
@@ -189,17 +189,17 @@
 			cache = new Set();
 			computing = false;
 			up = false;
-			process++;
+			incarnationNumber++;
 			queue.at(queue.now() + downMs, () => {
 				up = true;
 			});
 			for (const job of lost) {
-				job.over = true;
+				job.ended = true;
 				job.listener.crashed();
 			}
 		},
 		onEvicted() {
-			// Nobody listens yet.
+			// Replaced by the replay that uses the engine.
 		},
 		totals: {cachedTokens: 0, computedTokens: 0},
 	};
--- a/packages/traces/src/lib/replay/generate-traffic.ts
+++ b/packages/traces/src/lib/replay/generate-traffic.ts
@@ -1,21 +1,21 @@
-/** Seeded traffic of the two workloads, for the shipped traces. */
+/** Generates seeded traffic of the two workloads for the shipped traces. */
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {type TraceEndpoint, type TraceRequest} from './trace-format.js';
 
-/** Random numbers for one trace. */
+/** Seeded random numbers for one trace. */
 export type Chance = {
-	/** From `from` up to `to`. */
+	/** A number from `from` (included) to `to` (excluded). */
 	between: (from: number, to: number) => number;
 	/** A whole number from `from` to `to`, both included. */
 	whole: (from: number, to: number) => number;
-	/** One of some values, by weight. */
+	/** One of the values, with a probability by weight. */
 	pick: <Value>(values: ReadonlyArray<{value: Value; weight: number}>) => Value;
-	/** Time to the next of events that come at a rate a second, in milliseconds. */
+	/** Milliseconds to the next event, for independent events at a rate per second. */
 	gapMs: (perSecond: number) => number;
 };
 
-/** Opens the random numbers of a seed. */
+/** Creates the random numbers of a seed. */
 export const createChance = (seed: number): Chance => {
 	const generator = xoroshiro128plus(seed);
 	const next = (): number => uniformFloat64(generator);
@@ -42,20 +42,20 @@
 	};
 };
 
-/** Times in whole tenths of a millisecond keep the files small. */
+/** Rounds to tenths of a millisecond, which keeps the files small. */
 const shortTime = (atMs: number): number => Math.round(atMs * 10) / 10;
 
-/** What a fleet is made of. */
+/** Size and hardware of a fleet. */
 export type FleetShape = Omit<TraceEndpoint, 'name' | 'service' | 'dataCentre'> & {
 	count: number;
-	/** Endpoints of one lot. */
+	/** Endpoints per lot; endpoints of one lot have the same speed. */
 	lot: number;
-	/** How far the speed of a lot may be from the middle, as a share. */
+	/** Largest deviation of a lot's speed from the mean, as a fraction. */
 	spread: number;
 	dataCentres: readonly string[];
 };
 
-/** A fleet bought in small lots: lots differ in speed by up to `spread`. */
+/** Generates a fleet bought in small lots, whose speeds deviate by up to `spread`. */
 export const generateFleet = (chance: Chance, service: string, shape: FleetShape): TraceEndpoint[] => {
 	const endpoints: TraceEndpoint[] = [];
 	let factor = 1;
@@ -78,19 +78,19 @@
 	return endpoints;
 };
 
-/** How a school's evening goes. */
+/** Parameters of an evening's traffic of schools. */
 export type SchoolTraffic = {
 	durationMs: number;
 	perSecond: number;
-	/** Share of each school in the requests. */
+	/** Weight of each school in the requests. */
 	schools: ReadonlyArray<{name: string; weight: number}>;
 	carnivals: number;
 	houses: number;
-	/** Carnivals are others after each such time; none for never. */
+	/** All carnivals are replaced after each such period; absent for never. */
 	shiftEveryMs?: number;
 };
 
-/** Certificate wording: a carnival's preamble, a house's roll, a child's results. */
+/** Generates requests for certificate texts; a prompt is a carnival's preamble, a house's roll and a child's results. */
 export const generateSchoolTraffic = (chance: Chance, traffic: SchoolTraffic): TraceRequest[] => {
 	const requests: TraceRequest[] = [];
 	const lengths = new Map<string, number>();
@@ -125,18 +125,18 @@
 	return requests;
 };
 
-/** How a day of hearings goes. */
+/** Parameters of a day's traffic of hearings. */
 export type HearingTraffic = {
 	durationMs: number;
 	uploadsPerSecond: number;
-	/** Short questions that need no record, such as status and fees. */
+	/** Rate of short questions that need no record, such as status and fees. */
 	questionsPerSecond: number;
 	workspaces: ReadonlyArray<{name: string; weight: number}>;
-	/** Most questions on one record after its upload. */
+	/** Maximum number of questions on one record after its upload. */
 	mostFollowUps: number;
 };
 
-/** Hearing records classified against standing rules, with questions on them. */
+/** Generates hearing records that are classified against standing rules, and questions on them. */
 export const generateHearingTraffic = (chance: Chance, traffic: HearingTraffic): TraceRequest[] => {
 	const requests: TraceRequest[] = [];
 	const workspaces = traffic.workspaces.map(({name, weight}) => ({value: name, weight}));
--- a/packages/traces/src/lib/replay/measures.ts
+++ b/packages/traces/src/lib/replay/measures.ts
@@ -1,16 +1,16 @@
-/** What a replay measures. */
+/** Computes the measures of a replay. */
 import {type BestPossible} from './best-possible.js';
 
-/** How one request of a trace fared. */
-export type Served = {
+/** Result of one request of a trace. */
+export type RequestResult = {
 	workspace: string;
 	/** Milliseconds from the caller's request to the first token; absent when refused. */
 	firstTokenMs?: number;
 };
 
-/** Everything that a replay adds up. */
+/** Results and sums that a replay collects. */
 export type Totals = {
-	served: Served[];
+	results: RequestResult[];
 	cachedTokens: number;
 	computedTokens: number;
 	refusals: number;
@@ -25,41 +25,41 @@
 	ttft_p95_ms: number;
 	ttft_p99_ms: number;
 	ttft_p99_worst_workspace_ms: number;
-	/** Prompt tokens computed beyond what the best possible cache computes. */
+	/** Prompt tokens computed in excess of those that the best possible cache computes. */
 	wasted_tokens: number;
-	/** The same as a share of all prompt tokens. */
+	/** `wasted_tokens` as a share of all prompt tokens. */
 	wasted_share: number;
-	/** P99 of the worst-served workspace over the median workspace's. */
+	/** P99 time to first token of the worst workspace, divided by that of the median workspace. */
 	worst_workspace_ratio: number;
-	/** Requests refused or given up; a replay limits no rate, so none is rightful. */
+	/** Requests refused or given up; a replay has no rate limits, so every refusal is wrongful. */
 	wrongful_refusals: number;
 	attempts: number;
 };
 
-/** Smallest value that at least this share of the sorted values doesn't exceed. */
+/** Smallest value that at least `share` of the sorted values don't exceed. */
 const quantile = (sorted: readonly number[], share: number): number =>
 	sorted.length === 0 ? 0 : sorted[Math.max(0, Math.ceil(sorted.length * share) - 1)];
 
-const sortedTimes = (served: readonly Served[]): number[] =>
-	served.flatMap(one => one.firstTokenMs ?? []).toSorted((a, b) => a - b);
+const sortedTimes = (results: readonly RequestResult[]): number[] =>
+	results.flatMap(result => result.firstTokenMs ?? []).toSorted((a, b) => a - b);
 
 const round = (value: number, digits: number): number => Number(value.toFixed(digits));
 
-const tailsOfWorkspaces = (served: readonly Served[]): number[] => {
-	const groups = new Map<string, Served[]>();
-	for (const one of served) {
-		const group = groups.get(one.workspace) ?? [];
-		group.push(one);
-		groups.set(one.workspace, group);
+const tailsOfWorkspaces = (results: readonly RequestResult[]): number[] => {
+	const groups = new Map<string, RequestResult[]>();
+	for (const result of results) {
+		const group = groups.get(result.workspace) ?? [];
+		group.push(result);
+		groups.set(result.workspace, group);
 	}
 
 	return [...groups.values()].map(group => quantile(sortedTimes(group), 0.99)).toSorted((a, b) => a - b);
 };
 
-/** Works the measures out. */
+/** Computes the measures from the totals and the best possible result. */
 export const measure = (totals: Totals, best: BestPossible): Measures => {
-	const times = sortedTimes(totals.served);
-	const tails = tailsOfWorkspaces(totals.served);
+	const times = sortedTimes(totals.results);
+	const tails = tailsOfWorkspaces(totals.results);
 	const promptTokens = totals.cachedTokens + totals.computedTokens;
 	const hitRate = totals.cachedTokens / promptTokens;
 	const wasted = Math.max(0, totals.computedTokens - best.computedTokens);
--- a/packages/traces/src/lib/replay/policies.ts
+++ b/packages/traces/src/lib/replay/policies.ts
@@ -1,47 +1,47 @@
 /**
- * What a replay compares: the product's placer and the baselines. All have the
- * same health tracker and know the same of membership, so that the comparison
- * is of placement alone.
+ * The policies that a replay compares: the product's placer and the baselines.
+ * All use the same health tracker and get the same membership, so that only
+ * placement differs.
  */
 import {type Placement, type PlacementRequest} from 'hickorywalk/gateway.js';
 import {
 	createHealthTracker, createPlacer, homesByHash, type LearningPlacer, type PlacementEndpoint, type PlacerOptions,
 } from 'hickorywalk/routing.js';
 
-/** What a replay asks of a policy. */
+/** The part of the placer that a replay uses. */
 export type ReplayPolicy = Pick<LearningPlacer, 'place' | 'started' | 'finished' | 'observe' | 'evicted' | 'setEndpoints'>;
 
-/** What policies are made with; one policy for each router. */
+/** Context for creating policies; each router has its own policy. */
 export type PolicyContext = {
 	random: () => number;
 	pieceTokens: number;
-	/** Options of the product's placer to try in place of its defaults. */
+	/** Options that override the defaults of the product's placer. */
 	options: Partial<PlacerOptions>;
 };
 
-/** Load of an endpoint as a baseline sees it. */
-type Seen = {
+/** Load of an endpoint as a baseline knows it. */
+type BaselineLoad = {
 	endpoint: PlacementEndpoint;
-	/** Requests that the engine last said it has, with own starts since. */
+	/** Requests that the engine last reported, plus those started by this router since. */
 	requests: number;
 };
 
-type Choose = (request: PlacementRequest, allowed: readonly Seen[]) => Seen;
+type Choose = (request: PlacementRequest, allowed: readonly BaselineLoad[]) => BaselineLoad;
 
-/** A policy that only chooses among the endpoints that may be used. */
+/** Creates a policy that calls `choose` with the endpoints that may be used. */
 const createBaseline = (choose: Choose): ReplayPolicy => {
 	const health = createHealthTracker();
-	let seen: Seen[] = [];
+	let loads: BaselineLoad[] = [];
 
-	const entryOf = (name: string): Seen | undefined => seen.find(entry => entry.endpoint.name === name);
+	const entryOf = (name: string): BaselineLoad | undefined => loads.find(entry => entry.endpoint.name === name);
 
 	return {
 		setEndpoints(endpoints) {
-			seen = endpoints.map(endpoint => ({endpoint, requests: entryOf(endpoint.name)?.requests ?? 0}));
+			loads = endpoints.map(endpoint => ({endpoint, requests: entryOf(endpoint.name)?.requests ?? 0}));
 			health.setEndpoints('', endpoints.map(endpoint => endpoint.name));
 		},
 		place(request) {
-			const allowed = seen.filter(({endpoint}) =>
+			const allowed = loads.filter(({endpoint}) =>
 				endpoint.usable && endpoint.service === request.service && !request.excluded.has(endpoint.name) && health.roomOf(endpoint.name) > 0);
 			if (allowed.length === 0) {
 				return undefined;
@@ -77,7 +77,7 @@
 			}
 		},
 		evicted() {
-			// Baselines keep no picture of caches.
+			// Baselines don't track the contents of caches.
 		},
 	};
 };
@@ -104,8 +104,8 @@
 	return best;
 });
 
-/** Rendezvous hashing of one hash over whatever may be used. */
-const createHashed = (hashOf: (request: PlacementRequest) => bigint | undefined, random: () => number): ReplayPolicy =>
+/** Rendezvous hashing of one hash over the endpoints that may be used; a random endpoint without a hash. */
+const createHashPolicy = (hashOf: (request: PlacementRequest) => bigint | undefined, random: () => number): ReplayPolicy =>
 	createBaseline((request, allowed) => {
 		const hash = hashOf(request);
 		if (hash === undefined) {
@@ -116,20 +116,19 @@
 		return allowed.find(entry => entry.endpoint.name === home)!;
 	});
 
-const createOurs = ({random, pieceTokens, options}: PolicyContext): ReplayPolicy =>
+const createProductPolicy = ({random, pieceTokens, options}: PolicyContext): ReplayPolicy =>
 	createPlacer({random, pieceTokensOf: () => pieceTokens, ...options});
 
-/** The policies by name; ours first. */
+/** The policies by name, the product's first. */
 export const policies = {
-	hickorywalk: createOurs,
+	hickorywalk: createProductPolicy,
 	'round-robin': createRoundRobin,
 	'least-load': createLeastLoad,
-	'whole-prompt-hash': ({random}) => createHashed(request => request.pieces.at(-1), random),
-	'prefix-hash': ({random}) => createHashed(request => request.pieces[0], random),
+	'whole-prompt-hash': ({random}) => createHashPolicy(request => request.pieces.at(-1), random),
+	'prefix-hash': ({random}) => createHashPolicy(request => request.pieces[0], random),
 } as const satisfies Record<string, (context: PolicyContext) => ReplayPolicy>;
 
-/** Name of a policy. */
 export type PolicyName = keyof typeof policies;
 
-/** All names, ours first. */
+/** All names, the product's first. */
 export const policyNames = Object.keys(policies) as PolicyName[];
--- a/packages/traces/src/lib/replay/replay-file.ts
+++ b/packages/traces/src/lib/replay/replay-file.ts
@@ -1,19 +1,19 @@
-/** Replays a trace file and says whether the outcomes stated in it are reached. */
+/** Replays a trace file and checks whether the outcomes stated in it are reached. */
 import {type Measures} from './measures.js';
 import {type PolicyName} from './policies.js';
 import {prepareTrace, replayTrace} from './replay.js';
 import {readTrace} from './trace-file.js';
 import {type TraceHeader} from './trace-format.js';
 
-/** What a replay of one file with one policy gave. */
+/** Result of replaying one file with one policy. */
 export type ReplayReport = Measures & {
 	trace: string;
 	policy: PolicyName;
-	/** Stated outcomes that were not reached, in words; empty when all were. */
+	/** Descriptions of the stated outcomes that were not reached; empty when all were. */
 	missed: string[];
 };
 
-/** Compares measures with stated outcomes. */
+/** Describes the stated outcomes that the measures don't reach. */
 export const findMissedOutcomes = (measures: Measures, {hitRateOfBest, p99FirstTokenMs, wrongfulRefusals}: TraceHeader['outcomes']): string[] => {
 	const missed: string[] = [];
 	if (hitRateOfBest !== undefined && measures.hit_rate_of_best < hitRateOfBest) {
--- a/packages/traces/src/lib/replay/replay-router.ts
+++ b/packages/traces/src/lib/replay/replay-router.ts
@@ -1,6 +1,6 @@
 /**
- * One router of a replay: the policy under test with the little of a gateway
- * that tries placements, notices failure and silence, and tries again.
+ * One router of a replay: the policy under test, and the parts of a gateway that
+ * attempt a placement, detect failed and silent endpoints, and retry.
  */
 import {type Outcome, type Placement, type PlacementRequest} from 'hickorywalk/gateway.js';
 import {createRetryBudget, type AttemptBudget, type PlacementEndpoint} from 'hickorywalk/routing.js';
@@ -9,27 +9,26 @@
 import {type ReplayPolicy} from './policies.js';
 import {type PreparedRequest} from './trace-pieces.js';
 
-/** One way over the network, in milliseconds. */
+/** One-way network latency, in milliseconds. */
 const networkMs = 0.5;
-/** Silence of an endpoint before the first token that counts as failure. */
+/** Time without a first token after which an attempt on a silent connection fails, in milliseconds. */
 const silenceMs = 3000;
 const mostAttempts = 4;
 
-/** What becomes of a request in the end. */
+/** Callbacks for the progress of a request. */
 export type RequestListener = {
 	firstToken: (atMs: number) => void;
 	refused: () => void;
 	attempted: () => void;
 };
 
-/** One router. */
 export type ReplayRouter = {
 	serve: (prepared: PreparedRequest, listener: RequestListener) => void;
-	/** Starts anew with another policy that knows nothing; its requests end. */
+	/** Restarts with a fresh policy; requests in flight run to their end. */
 	restart: (policy: ReplayPolicy) => void;
-	/** The policy that decides now. */
+	/** The current policy. */
 	policy: () => ReplayPolicy;
-	/** Connections to the endpoint, open now, go silent. */
+	/** Makes the open connections to the endpoint silent; new ones work. */
 	silence: (endpoint: string) => void;
 	setEndpoints: (endpoints: readonly PlacementEndpoint[]) => void;
 };
@@ -42,15 +41,15 @@
 	hasFirstToken: boolean;
 };
 
-/** Opens a router over the engines. */
+/** Creates a router over the engines. */
 export const createReplayRouter = (first: ReplayPolicy, engines: ReadonlyMap<string, FakeEngine>, queue: EventQueue): ReplayRouter => {
 	let policy = first;
 	let budget: AttemptBudget = createRetryBudget();
 	let endpointList: readonly PlacementEndpoint[] = [];
-	/** Endpoints to which the pooled connections are silent, and nobody has noticed. */
+	/** Endpoints whose pooled connections are silent, which the router has not detected yet. */
 	const silent = new Set<string>();
-	/** What fails each attempt under way, by endpoint. */
-	const underWay = new Map<string, Set<(isSilent: boolean) => void>>();
+	/** Functions that fail the attempts in flight, by endpoint. */
+	const inFlight = new Map<string, Set<(isSilent: boolean) => void>>();
 
 	const placementRequest = ({prepared, excluded}: Attempt): PlacementRequest => ({
 		service: prepared.request.service,
@@ -74,23 +73,23 @@
 
 	const run = (attempt: Attempt, request: PlacementRequest, placement: Placement): void => {
 		const engine = engines.get(placement.endpoint)!;
-		const deciding = policy;
+		const placingPolicy = policy;
 		const startedAt = queue.now();
-		let over = false;
+		let ended = false;
 		let cancel: (() => void) | undefined;
 		let cachedTokens = 0;
 		let firstTokenMs: number | undefined;
 
 		const end = (change: Partial<Outcome> & Pick<Outcome, 'result'>): void => {
-			over = true;
-			underWay.get(placement.endpoint)?.delete(fail);
-			deciding.finished(request, placement, {
+			ended = true;
+			inFlight.get(placement.endpoint)?.delete(fail);
+			placingPolicy.finished(request, placement, {
 				endpoint: placement.endpoint, promptTokens: request.promptTokens, cachedTokens, outputTokens: 0, firstTokenMs, ...change,
 			});
 		};
 
 		const fail = (isSilent: boolean): void => {
-			if (over) {
+			if (ended) {
 				return;
 			}
 
@@ -103,9 +102,9 @@
 			retry({...attempt, hasFirstToken: attempt.hasFirstToken || firstTokenMs !== undefined}, placement.endpoint);
 		};
 
-		const group = underWay.get(placement.endpoint) ?? new Set();
-		underWay.set(placement.endpoint, group.add(fail));
-		deciding.started(request, placement);
+		const group = inFlight.get(placement.endpoint) ?? new Set();
+		inFlight.set(placement.endpoint, group.add(fail));
+		placingPolicy.started(request, placement);
 		if (silent.has(placement.endpoint)) {
 			queue.at(startedAt + silenceMs, () => {
 				fail(true);
@@ -114,7 +113,7 @@
 		}
 
 		queue.at(startedAt + networkMs, () => {
-			if (over) {
+			if (ended) {
 				return;
 			}
 
@@ -125,7 +124,7 @@
 
 			cancel = engine.submit(attempt.prepared, {
 				firstToken(cached) {
-					if (silent.has(placement.endpoint) || over) {
+					if (silent.has(placement.endpoint) || ended) {
 						return;
 					}
 
@@ -136,7 +135,7 @@
 					}
 				},
 				done(load) {
-					if (!silent.has(placement.endpoint) && !over) {
+					if (!silent.has(placement.endpoint) && !ended) {
 						end({result: 'answered', load, outputTokens: attempt.prepared.request.outputTokens});
 					}
 				},
@@ -147,10 +146,10 @@
 		});
 	};
 
-	/** What shares a pool with a silent connection is tried again on new ones. */
+	/** Discards the pool that holds a silent connection; its attempts are retried on new connections. */
 	const destroyPool = (endpoint: string): void => {
 		silent.delete(endpoint);
-		for (const fail of underWay.get(endpoint) ?? []) {
+		for (const fail of inFlight.get(endpoint) ?? []) {
 			fail(false);
 		}
 	};
@@ -182,7 +181,7 @@
 		policy: () => policy,
 		silence(endpoint) {
 			silent.add(endpoint);
-			for (const fail of underWay.get(endpoint) ?? []) {
+			for (const fail of inFlight.get(endpoint) ?? []) {
 				queue.at(queue.now() + silenceMs, () => {
 					fail(true);
 				});
--- a/packages/traces/src/lib/replay/replay.ts
+++ b/packages/traces/src/lib/replay/replay.ts
@@ -1,6 +1,6 @@
 /**
- * Replays a trace: the real decision code on the paused clock against small
- * fakes of engines, by events; the same every time by the trace's seed.
+ * Replays a trace as a discrete-event simulation: the real placement code on a
+ * fake clock against fake engines. The trace's seed makes all replays equal.
  */
 import FakeTimers from '@sinonjs/fake-timers';
 import {type PlacementEndpoint, type PlacerOptions} from 'hickorywalk/routing.js';
@@ -10,22 +10,22 @@
 import {createEventQueue, type EventQueue} from './event-queue.js';
 import {createFakeEngine, type FakeEngine} from './fake-engine.js';
 import {
-	measure, type Measures, type Served, type Totals,
+	measure, type Measures, type RequestResult, type Totals,
 } from './measures.js';
 import {policies, type PolicyName, type ReplayPolicy} from './policies.js';
 import {createReplayRouter, type ReplayRouter} from './replay-router.js';
 import {type Trace, type TraceFault} from './trace-format.js';
 import {preparePieces, type PreparedRequest} from './trace-pieces.js';
 
-/** A trace made ready, with what is the same for all policies. */
+/** A trace with the data that replays with all policies share. */
 export type PreparedTrace = {
 	trace: Trace;
 	requests: PreparedRequest[];
 	best: BestPossible;
 };
 
-/** What a replay has in hand. */
-type Stage = {
+/** State of a running replay. */
+type ReplayState = {
 	queue: EventQueue;
 	engines: Map<string, FakeEngine>;
 	routers: ReplayRouter[];
@@ -39,10 +39,10 @@
 const reportLagMs = 300;
 /** Age of cache events on arrival. */
 const eventLagMs = 500;
-/** Time until membership tells that an engine is down or back. */
+/** Time until membership reports that an engine is down or up again. */
 const membershipLagMs = 3000;
 
-/** Cuts the prompts and works out the best possible hit rate. */
+/** Splits the prompts into pieces and computes the best possible hit rate. */
 export const prepareTrace = async (trace: Trace): Promise<PreparedTrace> => {
 	const {pieceTokens, endpoints} = trace.header;
 	const requests = await preparePieces(trace.requests, pieceTokens);
@@ -54,58 +54,58 @@
 	return {trace, requests, best: bestPossible(requests, capacity, pieceTokens)};
 };
 
-const tellMembership = (stage: Stage): void => {
-	for (const router of stage.routers) {
-		router.setEndpoints(stage.endpoints);
+const updateRouterEndpoints = (state: ReplayState): void => {
+	for (const router of state.routers) {
+		router.setEndpoints(state.endpoints);
 	}
 };
 
-const setUsable = (stage: Stage, names: readonly string[], usable: boolean): void => {
-	stage.endpoints = stage.endpoints.map(endpoint => names.includes(endpoint.name) ? {...endpoint, usable} : endpoint);
-	tellMembership(stage);
+const setUsable = (state: ReplayState, names: readonly string[], usable: boolean): void => {
+	state.endpoints = state.endpoints.map(endpoint => names.includes(endpoint.name) ? {...endpoint, usable} : endpoint);
+	updateRouterEndpoints(state);
 };
 
-/** What each kind of fault does. */
-const faultHandlers: {[Kind in TraceFault['kind']]: (stage: Stage, fault: Extract<TraceFault, {kind: Kind}>) => void} = {
-	crash(stage, {endpoints, downMs}) {
-		const {queue, engines} = stage;
+/** Effect of each kind of fault. */
+const faultHandlers: {[Kind in TraceFault['kind']]: (state: ReplayState, fault: Extract<TraceFault, {kind: Kind}>) => void} = {
+	crash(state, {endpoints, downMs}) {
+		const {queue, engines} = state;
 		for (const name of endpoints) {
 			engines.get(name)!.crash(downMs);
 		}
 
 		if (downMs > membershipLagMs) {
 			queue.at(queue.now() + membershipLagMs, () => {
-				setUsable(stage, endpoints, false);
+				setUsable(state, endpoints, false);
 			});
 			queue.at(queue.now() + downMs + membershipLagMs, () => {
-				setUsable(stage, endpoints, true);
+				setUsable(state, endpoints, true);
 			});
 		}
 	},
-	'router-restart'(stage, {routers}) {
+	'router-restart'(state, {routers}) {
 		for (const index of routers) {
-			stage.routers[index].restart(stage.newPolicy());
+			state.routers[index].restart(state.newPolicy());
 		}
 	},
-	'events-lost'(stage, {untilMs}) {
-		stage.eventsLostUntil = untilMs;
+	'events-lost'(state, {untilMs}) {
+		state.eventsLostUntil = untilMs;
 	},
-	silent(stage, {router, endpoint}) {
-		stage.routers[router].silence(endpoint);
+	silent(state, {router, endpoint}) {
+		state.routers[router].silence(endpoint);
 	},
 };
 
-const handleFault = <Kind extends TraceFault['kind']>(stage: Stage, fault: Extract<TraceFault, {kind: Kind}>): void => {
-	const handler: (stage: Stage, fault: Extract<TraceFault, {kind: Kind}>) => void = faultHandlers[fault.kind];
-	handler(stage, fault);
+const handleFault = <Kind extends TraceFault['kind']>(state: ReplayState, fault: Extract<TraceFault, {kind: Kind}>): void => {
+	const handler: (state: ReplayState, fault: Extract<TraceFault, {kind: Kind}>) => void = faultHandlers[fault.kind];
+	handler(state, fault);
 };
 
-const scheduleReports = (stage: Stage, untilMs: number): void => {
-	const {queue, engines, routers} = stage;
+const scheduleReports = (state: ReplayState, untilMs: number): void => {
+	const {queue, engines, routers} = state;
 	for (let atMs = 0; atMs < untilMs; atMs += reportEveryMs) {
 		queue.at(atMs, () => {
 			for (const [name, engine] of engines) {
-				if (!engine.isUp() || atMs < stage.eventsLostUntil) {
+				if (!engine.isUp() || atMs < state.eventsLostUntil) {
 					continue;
 				}
 
@@ -120,11 +120,11 @@
 	}
 };
 
-const passOnCacheEvents = (stage: Stage): void => {
-	const {queue, engines, routers} = stage;
+const forwardCacheEvents = (state: ReplayState): void => {
+	const {queue, engines, routers} = state;
 	for (const [name, engine] of engines) {
 		engine.onEvicted = (pieces, incarnation) => {
-			if (queue.now() < stage.eventsLostUntil) {
+			if (queue.now() < state.eventsLostUntil) {
 				return;
 			}
 
@@ -137,7 +137,7 @@
 	}
 };
 
-const openStage = (trace: Trace, policyName: PolicyName, options: Partial<PlacerOptions>): Stage => {
+const createReplayState = (trace: Trace, policyName: PolicyName, options: Partial<PlacerOptions>): ReplayState => {
 	const {header} = trace;
 	const generator = xoroshiro128plus(header.seed);
 	const random = (): number => uniformFloat64(generator);
@@ -153,17 +153,17 @@
 	};
 };
 
-const scheduleRequests = (stage: Stage, requests: readonly PreparedRequest[], seed: number, totals: Totals): void => {
+const scheduleRequests = (state: ReplayState, requests: readonly PreparedRequest[], seed: number, totals: Totals): void => {
 	const generator = xoroshiro128plus(seed + 1);
 	for (const prepared of requests) {
 		const {atMs, workspace} = prepared.request;
-		const router = stage.routers[Math.floor(uniformFloat64(generator) * stage.routers.length)];
-		const served: Served = {workspace};
-		totals.served.push(served);
-		stage.queue.at(atMs, () => {
+		const router = state.routers[Math.floor(uniformFloat64(generator) * state.routers.length)];
+		const result: RequestResult = {workspace};
+		totals.results.push(result);
+		state.queue.at(atMs, () => {
 			router.serve(prepared, {
 				firstToken(tokenAtMs) {
-					served.firstTokenMs ??= tokenAtMs - atMs;
+					result.firstTokenMs ??= tokenAtMs - atMs;
 				},
 				refused() {
 					totals.refusals++;
@@ -176,31 +176,31 @@
 	}
 };
 
-/** Replays a prepared trace with one policy; `options` are tried in place of the placer's defaults. */
+/** Replays a prepared trace with one policy; `options` override the placer's defaults. */
 export const replayTrace = ({trace, requests, best}: PreparedTrace, policyName: PolicyName, options: Partial<PlacerOptions> = {}): Measures => {
 	const clock = FakeTimers.install({toFake: ['performance', 'Date'], now: 0});
 	try {
 		const totals: Totals = {
-			served: [], cachedTokens: 0, computedTokens: 0, refusals: 0, attempts: 0,
+			results: [], cachedTokens: 0, computedTokens: 0, refusals: 0, attempts: 0,
 		};
-		const stage = openStage(trace, policyName, options);
-		tellMembership(stage);
-		passOnCacheEvents(stage);
-		scheduleReports(stage, requests.at(-1)!.request.atMs);
-		scheduleRequests(stage, requests, trace.header.seed, totals);
+		const state = createReplayState(trace, policyName, options);
+		updateRouterEndpoints(state);
+		forwardCacheEvents(state);
+		scheduleReports(state, requests.at(-1)!.request.atMs);
+		scheduleRequests(state, requests, trace.header.seed, totals);
 		for (const fault of trace.faults) {
-			stage.queue.at(fault.atMs, () => {
-				handleFault(stage, fault);
+			state.queue.at(fault.atMs, () => {
+				handleFault(state, fault);
 			});
 		}
 
 		let tickedMs = 0;
-		stage.queue.runAll(atMs => {
+		state.queue.runAll(atMs => {
 			const wholeMs = Math.floor(atMs);
 			clock.tick(wholeMs - tickedMs);
 			tickedMs = wholeMs;
 		});
-		for (const engine of stage.engines.values()) {
+		for (const engine of state.engines.values()) {
 			totals.cachedTokens += engine.totals.cachedTokens;
 			totals.computedTokens += engine.totals.computedTokens;
 		}
--- a/packages/traces/src/lib/replay/shipped-traces.ts
+++ b/packages/traces/src/lib/replay/shipped-traces.ts
@@ -1,4 +1,4 @@
-/** The traces that this package ships, each made anew by its generator. */
+/** Generators of the traces that this package ships. */
 import {
 	createChance, generateFleet, generateHearingTraffic, generateSchoolTraffic, type Chance, type FleetShape, type SchoolTraffic,
 } from './generate-traffic.js';
@@ -6,8 +6,8 @@
 	traceLayout, type Trace, type TraceEndpoint, type TraceFault, type TraceHeader, type TraceRequest,
 } from './trace-format.js';
 
-/** What a shipped trace has of its own. */
-type Shape = {
+/** Definition of one shipped trace. */
+type TraceDefinition = {
 	about: string;
 	seed: number;
 	outcomes: TraceHeader['outcomes'];
@@ -51,21 +51,21 @@
 	return faults;
 };
 
-/** No request is refused: a replay limits no rate. */
-const reaching = (hitRateOfBest: number, p99FirstTokenMs: number): TraceHeader['outcomes'] => ({hitRateOfBest, p99FirstTokenMs, wrongfulRefusals: 0});
+/** No request may be refused: a replay has no rate limits. */
+const expectedOutcomes = (hitRateOfBest: number, p99FirstTokenMs: number): TraceHeader['outcomes'] => ({hitRateOfBest, p99FirstTokenMs, wrongfulRefusals: 0});
 
-const shapes = {
+const traceDefinitions = {
 	evening: {
 		about: 'The evening before assembly: thousands of certificates over nested preambles; one school sends five times as much as others.',
 		seed: 11,
-		outcomes: reaching(0.98, 4000),
+		outcomes: expectedOutcomes(0.98, 4000),
 		fleet: wordsmith(),
 		requests: schoolTraffic({perSecond: 55, schools}),
 	},
 	hearings: {
 		about: 'Long hearing records against standing rules, follow-up questions on them, and short questions that need no record.',
 		seed: 12,
-		outcomes: reaching(0.96, 8000),
+		outcomes: expectedOutcomes(0.96, 8000),
 		fleet: shokiLm,
 		requests: chance => generateHearingTraffic(chance, {
 			durationMs: 120_000, uploadsPerSecond: 1.6, questionsPerSecond: 12, mostFollowUps: 8,
@@ -75,14 +75,14 @@
 	shift: {
 		about: 'All hot preambles are replaced every 20 seconds.',
 		seed: 13,
-		outcomes: reaching(0.92, 8500),
+		outcomes: expectedOutcomes(0.92, 8500),
 		fleet: wordsmith(),
 		requests: schoolTraffic({shiftEveryMs: 20_000}),
 	},
 	crash: {
 		about: 'Engines crash in mid-stream and come back empty after two seconds.',
 		seed: 14,
-		outcomes: reaching(0.95, 5000),
+		outcomes: expectedOutcomes(0.95, 5000),
 		fleet: wordsmith(),
 		requests: schoolTraffic(),
 		faults: [
@@ -97,7 +97,7 @@
 	restarts: {
 		about: 'Five of six routers restart at once, later all six.',
 		seed: 15,
-		outcomes: reaching(0.97, 7500),
+		outcomes: expectedOutcomes(0.97, 7500),
 		fleet: wordsmith(),
 		requests: schoolTraffic(),
 		faults: [
@@ -108,7 +108,7 @@
 	'events-lost': {
 		about: 'Cache events and load reports are lost for a minute while preambles change.',
 		seed: 16,
-		outcomes: reaching(0.95, 10_000),
+		outcomes: expectedOutcomes(0.95, 10_000),
 		fleet: wordsmith(),
 		requests: schoolTraffic({shiftEveryMs: 30_000}),
 		faults: [{kind: 'events-lost', atMs: 15_000, untilMs: 75_000}],
@@ -116,7 +116,7 @@
 	'rack-lost': {
 		about: 'A rack of three engines is lost for 30 seconds and comes back empty.',
 		seed: 17,
-		outcomes: reaching(0.95, 6500),
+		outcomes: expectedOutcomes(0.95, 6500),
 		fleet: wordsmith(),
 		requests: schoolTraffic(),
 		faults: [{
@@ -126,7 +126,7 @@
 	silent: {
 		about: 'Open connections go silent one after the other while new ones work.',
 		seed: 18,
-		outcomes: reaching(0.96, 4500),
+		outcomes: expectedOutcomes(0.96, 4500),
 		fleet: wordsmith(),
 		requests: schoolTraffic(),
 		faults: silences(),
@@ -134,36 +134,35 @@
 	unequal: {
 		about: 'Lots of endpoints differ in speed by several times.',
 		seed: 19,
-		outcomes: reaching(0.96, 3000),
+		outcomes: expectedOutcomes(0.96, 3000),
 		fleet: wordsmith({spread: 0.7}),
 		requests: schoolTraffic({perSecond: 30}),
 	},
 	evictions: {
 		about: 'Small caches: a prefix that is not used is evicted within seconds.',
 		seed: 20,
-		outcomes: reaching(0.92, 7500),
+		outcomes: expectedOutcomes(0.92, 7500),
 		fleet: wordsmith({cachePieces: 40}),
 		requests: schoolTraffic({perSecond: 30, schools}),
 	},
-} as const satisfies Record<string, Shape>;
+} as const satisfies Record<string, TraceDefinition>;
 
-/** Name of a shipped trace. */
-export type ShippedTrace = keyof typeof shapes;
+export type ShippedTrace = keyof typeof traceDefinitions;
 
 /** Names of the shipped traces. */
-export const shippedTraces = Object.keys(shapes) as ShippedTrace[];
+export const shippedTraces = Object.keys(traceDefinitions) as ShippedTrace[];
 
-/** Makes a shipped trace; the same at every call. */
+/** Generates a shipped trace; the same at every call. */
 export const generateTrace = (name: ShippedTrace): Trace => {
-	const shape: Shape = shapes[name];
-	const chance = createChance(shape.seed);
-	const endpoints = shape.fleet(chance);
-	const requests = shape.requests(chance);
+	const definition: TraceDefinition = traceDefinitions[name];
+	const chance = createChance(definition.seed);
+	const endpoints = definition.fleet(chance);
+	const requests = definition.requests(chance);
 	return {
 		header: {
-			kind: 'header', layout: traceLayout, name, about: shape.about, seed: shape.seed, routers, pieceTokens, endpoints, outcomes: shape.outcomes,
+			kind: 'header', layout: traceLayout, name, about: definition.about, seed: definition.seed, routers, pieceTokens, endpoints, outcomes: definition.outcomes,
 		},
 		requests,
-		faults: shape.faults ?? [],
+		faults: definition.faults ?? [],
 	};
 };
--- a/packages/traces/src/lib/replay/trace-errors.ts
+++ b/packages/traces/src/lib/replay/trace-errors.ts
@@ -1,7 +1,7 @@
 /** Errors of reading traces. */
 import {LayerError} from 'hickorywalk';
 
-/** A trace can't be read; the text names file, line and field. */
+/** Thrown when a trace can't be read; the message names file, line and field. */
 export class TraceInvalidError extends LayerError {
 	readonly code = 'trace_invalid';
 }
--- a/packages/traces/src/lib/replay/trace-file.ts
+++ b/packages/traces/src/lib/replay/trace-file.ts
@@ -1,4 +1,4 @@
-/** Reads and writes traces: NDJSON, packed by gzip where the name ends in `.gz`. */
+/** Reads and writes traces: NDJSON, compressed with gzip when the file name ends in `.gz`. */
 import {readFile, writeFile} from 'node:fs/promises';
 import {gunzipSync, gzipSync} from 'node:zlib';
 import {TraceInvalidError} from './trace-errors.js';
@@ -11,7 +11,7 @@
 	try {
 		value = JSON.parse(text);
 	} catch (error) {
-		throw new TraceInvalidError(`${where} is not JSON. Write one JSON object a line.`, {cause: error});
+		throw new TraceInvalidError(`${where} is not JSON. Write one JSON object per line.`, {cause: error});
 	}
 
 	const parsed = traceLineSchema.safeParse(value);
@@ -25,7 +25,7 @@
 
 /**
  * Parses the text of a trace.
- * @throws {TraceInvalidError} when a line is not of the format, with its number.
+ * @throws {TraceInvalidError} when a line doesn't match the format; the message gives its number.
  */
 export const parseTrace = (text: string, name: string): Trace => {
 	const trace: Partial<Trace> & Pick<Trace, 'requests' | 'faults'> = {requests: [], faults: []};
@@ -46,11 +46,11 @@
 
 	const {header, requests, faults} = trace;
 	if (header === undefined) {
-		throw new TraceInvalidError(`${name} has no header line. Begin a trace with one.`);
+		throw new TraceInvalidError(`${name} has no header line. Start the trace with one.`);
 	}
 
 	if (header.layout > traceLayout) {
-		throw new TraceInvalidError(`${name} has layout ${header.layout}; this build reads up to ${traceLayout}. Update it.`);
+		throw new TraceInvalidError(`${name} has layout ${header.layout}; this build reads layouts up to ${traceLayout}. Update hickorywalk.`);
 	}
 
 	requests.sort((a, b) => a.atMs - b.atMs);
@@ -58,13 +58,16 @@
 	return {header, requests, faults};
 };
 
-/** The text of a trace, its lines in the order of their times. */
+/** Formats a trace as text, the lines after the header sorted by time. */
 export const formatTrace = (trace: Trace): string => {
 	const lines = [...trace.faults, ...trace.requests].toSorted((a, b) => a.atMs - b.atMs);
 	return [trace.header, ...lines].map(line => `${JSON.stringify(line)}\n`).join('');
 };
 
-/** Reads a trace file. */
+/**
+ * Reads a trace file.
+ * @throws {TraceInvalidError} when the file is not a trace.
+ */
 export const readTrace = async (path: string): Promise<Trace> => {
 	const content = await readFile(path);
 	const text = path.endsWith('.gz') ? gunzipSync(content) : content;
--- a/packages/traces/src/lib/replay/trace-format.ts
+++ b/packages/traces/src/lib/replay/trace-format.ts
@@ -1,10 +1,10 @@
 /**
- * The trace format: NDJSON, one object a line, the header first. Types are
- * inferred from the schemas; docs/traces.md describes the lines for people.
+ * The trace format: NDJSON, one object per line, the header first. Types are
+ * inferred from the schemas; docs/traces.md documents the lines.
  */
 import {z} from 'zod';
 
-/** The newest layout of traces that this build reads. */
+/** The newest trace layout that this build reads. */
 export const traceLayout = 1;
 
 const atMs = z.number().nonnegative().describe('Milliseconds since the start of the trace.');
@@ -84,7 +84,7 @@
 export type TraceFault = z.infer<typeof crashSchema> | z.infer<typeof restartSchema> | z.infer<typeof eventsLostSchema> | z.infer<typeof silentSchema>;
 export type TraceLine = z.infer<typeof traceLineSchema>;
 
-/** A whole trace; requests and faults in the order of their times. */
+/** A complete trace; requests and faults are sorted by time. */
 export type Trace = {
 	header: TraceHeader;
 	requests: TraceRequest[];
--- a/packages/traces/src/lib/replay/trace-pieces.ts
+++ b/packages/traces/src/lib/replay/trace-pieces.ts
@@ -1,4 +1,4 @@
-/** Cuts the prompts of a trace into hashed pieces, as the product cuts texts. */
+/** Splits the prompts of a trace into hashed pieces, as the product splits texts. */
 import {createPromptHasher} from 'hickorywalk/routing.js';
 import {type TraceRequest} from './trace-format.js';
 
@@ -9,10 +9,10 @@
 	promptTokens: number;
 };
 
-/** Bytes that stand for the text of one piece. */
-const bytesOfName = 4;
+/** Bytes that represent the text of one piece. */
+const bytesPerPiece = 4;
 
-/** The texts that a range of tokens is made of; equal ranges give equal names. */
+/** Names the texts in a range of tokens; ranges of equal text get equal names. */
 const nameOfRange = (parts: TraceRequest['parts'], from: number, to: number): string => {
 	const names: string[] = [];
 	let start = 0;
@@ -37,7 +37,7 @@
 	return tokens;
 };
 
-/** Prepares all requests of a trace; the product's own hasher chains the pieces. */
+/** Prepares all requests of a trace; the product's own hasher computes the chained hashes of the pieces. */
 export const preparePieces = async (requests: readonly TraceRequest[], pieceTokens: number): Promise<PreparedRequest[]> => {
 	const hasher = await createPromptHasher();
 	const numbers = new Map<string, number>();
@@ -51,16 +51,16 @@
 	for (const request of requests) {
 		const promptTokens = tokensOf(request.parts);
 		const count = Math.floor(promptTokens / pieceTokens);
-		const text = new DataView(new ArrayBuffer(count * bytesOfName));
+		const text = new DataView(new ArrayBuffer(count * bytesPerPiece));
 		for (let piece = 0; piece < count; piece++) {
-			text.setUint32(piece * bytesOfName, numberOf(nameOfRange(request.parts, piece * pieceTokens, (piece + 1) * pieceTokens)));
+			text.setUint32(piece * bytesPerPiece, numberOf(nameOfRange(request.parts, piece * pieceTokens, (piece + 1) * pieceTokens)));
 		}
 
 		const {workspace, service, version, adapter} = request;
 		const identity = {
 			workspace, model: service, version, adapter,
 		};
-		prepared.push({request, pieces: hasher.hash(identity, new Uint8Array(text.buffer), bytesOfName), promptTokens});
+		prepared.push({request, pieces: hasher.hash(identity, new Uint8Array(text.buffer), bytesPerPiece), promptTokens});
 	}
 
 	return prepared;
--- a/packages/traces/src/lib/replay/trace-recorder.ts
+++ b/packages/traces/src/lib/replay/trace-recorder.ts
@@ -1,31 +1,31 @@
 /**
- * Records a trace from a serving daemon. It holds no text and no key: a prompt
- * is written as the chain of its piece hashes, hashed once more with a secret
- * of the recording, so that a reader can't confirm a guessed prompt.
+ * Records a trace from a serving daemon. The trace contains no text and no key:
+ * a prompt is written as its chain of piece hashes, each hashed again with a
+ * secret of the recording, so that a reader can't confirm a guessed prompt.
  */
 import {createHmac} from 'node:crypto';
 import {type PlacementRequest} from 'hickorywalk/gateway.js';
 import {type TraceRequest} from './trace-format.js';
 
-/** What a recorder is made with. */
+/** Options of a recorder. */
 export type TraceRecorderOptions = {
 	/** Tokens in one piece. */
 	pieceTokens: number;
-	/** Fresh random bytes, dropped with the recording. */
+	/** Fresh random bytes, discarded after the recording. */
 	secret: Uint8Array;
-	/** Takes each line. */
+	/** Receives each line of the trace. */
 	write: (request: TraceRequest) => void;
 };
 
 /** Writes requests as lines of a trace. */
 export type TraceRecorder = {
-	/** A request ended with so many generated tokens; `startedAt` is on the monotonic clock. */
+	/** Records a request that ended with `outputTokens` generated tokens; `startedAt` is in milliseconds of the monotonic clock. */
 	record: (request: PlacementRequest, startedAt: number, outputTokens: number) => void;
 };
 
 const nameLength = 12;
 
-/** Starts a recording now. */
+/** Starts a recording; the times in the trace count from this call. */
 export const createTraceRecorder = ({pieceTokens, secret, write}: TraceRecorderOptions): TraceRecorder => {
 	const beganAt = performance.now();
 	let count = 0;
--- a/packages/traces/src/test/burn-page.test.ts
+++ b/packages/traces/src/test/burn-page.test.ts
@@ -22,7 +22,7 @@
 };
 
 describe('renderBurnPage', () => {
-	it('holds a plot, and text where names look like markup', async () => {
+	it('contains a plot, and escapes names that look like markup', async () => {
 		const page = await renderBurnPage(report);
 		assert.match(page, /<svg.+<\/svg>/sv);
 		assert.notInclude(page, '<script');
--- a/packages/traces/src/test/replay.test.ts
+++ b/packages/traces/src/test/replay.test.ts
@@ -7,14 +7,14 @@
 import {pathOfTrace} from '../lib/bench/policy-bench.js';
 import {type PreparedRequest} from '../lib/replay/trace-pieces.js';
 
-/** The first requests of a shipped trace, with what faults fall into their time. */
+/** The requests and faults of a shipped trace before `untilMs`. */
 const shorten = (name: ShippedTrace, untilMs: number): Trace => {
 	const {header, requests, faults} = generateTrace(name);
 	return {header, requests: requests.filter(request => request.atMs < untilMs), faults: faults.filter(fault => fault.atMs < untilMs)};
 };
 
 describe('trace replay', () => {
-	it('gives the same measures at every run', async () => {
+	it('gives the same measures in every run', async () => {
 		const prepared = await prepareTrace(shorten('crash', 35_000));
 		const first = replayTrace(prepared, 'hickorywalk');
 		assert.deepEqual(replayTrace(prepared, 'hickorywalk'), first);
@@ -22,7 +22,7 @@
 	});
 
 	for (const name of shippedTraces) {
-		it(`reaches the outcomes stated with ${name}, whose file its generator made`, async () => {
+		it(`reaches the outcomes stated in ${name}, whose file equals what its generator makes`, async () => {
 			const trace = await readTrace(pathOfTrace(name));
 			assert.deepEqual(trace, parseTrace(formatTrace(generateTrace(name)), name));
 			const {hitRateOfBest, p99FirstTokenMs, wrongfulRefusals} = trace.header.outcomes;
@@ -34,14 +34,14 @@
 		});
 	}
 
-	it('says which stated outcomes are missed', async () => {
+	it('reports the stated outcomes that are missed', async () => {
 		const report = await replayFile(pathOfTrace('unequal'), 'round-robin');
 		assert.lengthOf(report.missed, 2);
 		const {outcomes} = generateTrace('unequal').header;
 		assert.lengthOf(findMissedOutcomes({...report, wrongful_refusals: 1}, outcomes), 3);
 	});
 
-	it('names line and field of what is not a trace', () => {
+	it('names the line and field that make a trace invalid', () => {
 		const [header] = formatTrace(shorten('crash', 100)).split('\n');
 		assert.throws(() => parseTrace(`${header}\n{"kind":"request","atMs":-1}`, 'x.ndjson'), TraceInvalidError, /Line 2 of x.ndjson, field "atMs"/v);
 		assert.throws(() => parseTrace('', 'x.ndjson'), TraceInvalidError, /no header/v);
@@ -49,11 +49,11 @@
 	});
 
 	/*
-	 * A goal measured against a best that some policy beats would mean nothing.
-	 * The best must hold for one pooled cache under every order of eviction: here
-	 * an exhaustive search over what to keep, on prompts of one piece.
+	 * Goals are shares of the best possible hit rate, so they would mean nothing
+	 * if a policy could exceed it. Compares it with an exhaustive search over all
+	 * evictions from one pooled cache, on prompts of one piece.
 	 */
-	it('finds the best hit rate that any eviction could reach', () => {
+	it('finds the best hit rate that any order of eviction can reach', () => {
 		const exhaustive = (uses: readonly number[], capacity: number, kept: ReadonlySet<number> = new Set()): number => {
 			if (uses.length === 0) {
 				return 0;
@@ -72,7 +72,7 @@
 		}), {seed: 1, numRuns: 200});
 	});
 
-	it('records requests without their pieces\' hashes, nested as they were', async () => {
+	it('records requests without their piece hashes, and keeps shared prefixes', async () => {
 		const lines: TraceRequest[] = [];
 		const recorder = createTraceRecorder({pieceTokens: 1024, secret: new Uint8Array(32), write: line => lines.push(line)});
 		for (const pieces of [[1n, 2n], [1n, 3n]]) {
