--- a/packages/entry/src/lib/wiring/peer-wiring.ts
+++ b/packages/entry/src/lib/wiring/peer-wiring.ts
@@ -94,8 +94,8 @@
 
 /** Tells peers how long the lease may still be held, so that a successor waits no longer than needed. */
 function leaseForReport({leases}: EntryParts): PeerReport['duty'] {
-	const announcement = leases.report(weightsLease);
-	return announcement === undefined ? null : [announcement.attempt, Math.ceil(announcement.msLeft)];
+	const report = leases.report(weightsLease);
+	return report === undefined ? null : [report.attempt, Math.ceil(report.msLeft)];
 }
 
 /** Rounds a finite number; -1 otherwise, since JSON has no infinity. */
--- a/packages/entry/src/lib/wiring/request-wiring.ts
+++ b/packages/entry/src/lib/wiring/request-wiring.ts
@@ -58,9 +58,10 @@
 
 /** Creates the endpoint choice. */
 export function wireChoice(parts: EntryParts) {
-	const {view, loadTracker: book, health, presence, versions, limits, storedParts: kept, residentParts: resident, peers, settings} = parts;
+	const {view, loadTracker, health, presence, versions, limits, storedParts, residentParts, peers, settings} = parts;
 	return createEndpointChoice({
-		view, loadTracker: book, health, presence, versions, limits, storedParts: kept, residentParts: resident, dataCentre: settings.dataCentre, connectionShare: () => connectionsRatio / peers.fleetSize(), weightsMs: settings.weightsMs,
+		view, loadTracker, health, presence, versions, limits, storedParts, residentParts,
+		dataCentre: settings.dataCentre, connectionShare: () => connectionsRatio / peers.fleetSize(), weightsMs: settings.weightsMs,
 		// Peers within one report round learn of large prompts at once, so only the others may choose the same endpoint.
 		daemons: () => 1 + peers.peersBeyondRound(), random: Math.random,
 	});
--- a/packages/router/src/lib/orders/exchange.ts
+++ b/packages/router/src/lib/orders/exchange.ts
@@ -49,7 +49,7 @@
 	return new Promise(resolve => {
 		const handler = createExchangeHandler(options, resolve);
 		options.sink.onDrain(handler.callerDrained);
-		options.sink.onGone(handler.callerGone);
+		options.sink.onDisconnect(handler.callerGone);
 		handler.send();
 	});
 }
@@ -80,7 +80,7 @@
 			answered: false, failure: begun && failure === 'reset' ? 'truncated' : failure, begun, cause,
 		});
 		if (begun) {
-			sink.cut();
+			sink.abort();
 		}
 	};
 
@@ -143,7 +143,7 @@
 
 	const handleData = (chunk: Uint8Array) => {
 		startBodyTimer();
-		if (sink.isGone() || sink.write(chunk)) {
+		if (sink.isDisconnected() || sink.write(chunk)) {
 			return;
 		}
 
--- a/packages/router/src/lib/orders/http-sink.ts
+++ b/packages/router/src/lib/orders/http-sink.ts
@@ -86,7 +86,7 @@
 
 			res.end();
 		},
-		cut() {
+		abort() {
 			const {socket} = res;
 			// A plain close could be taken for the end of a response without a length.
 			// A reset cannot, in any version of HTTP.
@@ -96,11 +96,11 @@
 				socket.resetAndDestroy();
 			}
 		},
-		isGone: () => gone,
+		isDisconnected: () => gone,
 		onDrain(listener) {
 			res.on('drain', listener);
 		},
-		onGone(listener) {
+		onDisconnect(listener) {
 			goneListeners.add(listener);
 		},
 	};
--- a/packages/router/src/lib/orders/keyed-call.ts
+++ b/packages/router/src/lib/orders/keyed-call.ts
@@ -165,7 +165,7 @@
 		const key = keyOf(keyed);
 		let found = first;
 		let pollMs = firstPollMs;
-		while (found.row.state === 'pending' && !sink.isGone() && !options.isStopping()) {
+		while (found.row.state === 'pending' && !sink.isDisconnected() && !options.isStopping()) {
 			const leftMs = keyed.call.deadline - performance.now();
 			if (leftMs <= pollMs || Date.now() > found.row.giveUpMs + limits.clockMarginMs) {
 				break;
--- a/packages/router/src/lib/orders/response-sink.ts
+++ b/packages/router/src/lib/orders/response-sink.ts
@@ -8,13 +8,13 @@
 	write: (chunk: Uint8Array) => boolean;
 	end: (trailers: readonly string[]) => void;
 	/** Breaks the caller's connection so that it cannot take the response as complete. */
-	cut: () => void;
+	abort: () => void;
 	/** Whether the caller disconnected. */
-	isGone: () => boolean;
+	isDisconnected: () => boolean;
 	/** Adds a listener that is called each time the caller has read what was written. */
 	onDrain: (listener: () => void) => void;
 	/** Adds a listener that is called once if the caller disconnects before the end of the response. */
-	onGone: (listener: () => void) => void;
+	onDisconnect: (listener: () => void) => void;
 };
 
 /** A copy of the response that was passed to a caller. */
--- a/packages/router/src/lib/orders/service-calls.ts
+++ b/packages/router/src/lib/orders/service-calls.ts
@@ -197,7 +197,7 @@
 				openBody: bodyOpener(body),
 				pick: context.pick,
 				deadline: context.deadline,
-				maySend: () => !sink.isGone() && performance.now() < context.deadline,
+				maySend: () => !sink.isDisconnected() && performance.now() < context.deadline,
 			},
 		};
 		return kind === 'once' && idempotencyKey !== undefined
--- a/packages/router/src/lib/orders/service-proxy.ts
+++ b/packages/router/src/lib/orders/service-proxy.ts
@@ -44,8 +44,8 @@
 			} catch (error) {
 				// Reading the caller's request body failed, or there is a bug here. What was
 				// written so far must not pass as a complete response.
-				const isCallersFault = sink.isGone() || req.destroyed;
-				sink.cut();
+				const isCallersFault = sink.isDisconnected() || req.destroyed;
+				sink.abort();
 				if (isCallersFault) {
 					return 'refused';
 				}
--- a/packages/router/src/lib/orders/status-look-up.ts
+++ b/packages/router/src/lib/orders/status-look-up.ts
@@ -40,14 +40,14 @@
 		end() {
 			// The result of the exchange reports the end.
 		},
-		cut() {
+		abort() {
 			chunks.length = 0;
 		},
-		isGone: () => false,
+		isDisconnected: () => false,
 		onDrain() {
 			// This sink never applies backpressure.
 		},
-		onGone() {
+		onDisconnect() {
 			// A look-up has no caller that could disconnect.
 		},
 		text: () => Buffer.concat(chunks).toString('utf8'),
--- a/packages/router/src/lib/peers/peer-exchange.ts
+++ b/packages/router/src/lib/peers/peer-exchange.ts
@@ -135,11 +135,11 @@
 	let hasLeft = false;
 	let sentAt = Number.NEGATIVE_INFINITY;
 
-	const rounds = (): number => Math.max(1, Math.ceil(queue.size / maxPeersPerRound));
+	const roundsPerRefresh = (): number => Math.max(1, Math.ceil(queue.size / maxPeersPerRound));
 
-	const intervalMs = (): number => options.everyMs * Math.min(maxIntervalFactor, Math.sqrt(rounds()));
+	const intervalMs = (): number => options.everyMs * Math.min(maxIntervalFactor, Math.sqrt(roundsPerRefresh()));
 
-	const refreshMs = (): number => Math.round(rounds() * intervalMs());
+	const refreshMs = (): number => Math.round(roundsPerRefresh() * intervalMs());
 
 	const silenceMs = (): number => Math.max(options.minSilenceMs, refreshMs() * refreshesUntilSilent);
 
@@ -364,7 +364,7 @@
 				sendRound();
 			}
 		},
-		roundsPerRefresh: rounds,
+		roundsPerRefresh,
 		sendSoonTo(daemons) {
 			for (const daemon of daemons === 'all' ? queue.keys() : daemons) {
 				urgentPeers.add(daemon);
--- a/packages/router/src/lib/rollouts/http-engine-control.ts
+++ b/packages/router/src/lib/rollouts/http-engine-control.ts
@@ -27,7 +27,7 @@
 			});
 			await res.body.dump();
 			if (res.statusCode !== statusOk && res.statusCode !== statusAccepted) {
-				throw new EndpointRefusedError(`${address} answered ${res.statusCode} to an order with fencing number ${fencing}.`, res.statusCode);
+				throw new EndpointRefusedError(`${address} answered ${res.statusCode} to an order with fencing token ${fencing}.`, res.statusCode);
 			}
 		},
 		async close() {
--- a/packages/router/src/lib/rollouts/rollout-runner.ts
+++ b/packages/router/src/lib/rollouts/rollout-runner.ts
@@ -65,7 +65,7 @@
 	let busy = false;
 
 	/**
-	 * Some endpoints obey orders with an old fencing number. The previous owner sent
+	 * Some endpoints obey orders with an old fencing token. The previous owner sent
 	 * none in the last `lingerMs` of its lease, so after `lingerMs` all its orders
 	 * have arrived or been lost, and the state read afterwards is final.
 	 */
--- a/packages/router/src/lib/routing/attempt-budget.ts
+++ b/packages/router/src/lib/routing/attempt-budget.ts
@@ -28,7 +28,7 @@
 const sliceCount = 10;
 
 /** Creates a budget over a sliding window of ten slices, on the monotonic clock. */
-const createAttemptBudget = ({share, minimum: minimum, windowMs, isMinimumAdded: isMinimumAdded = false}: AttemptBudgetOptions): AttemptBudget => {
+const createAttemptBudget = ({share, minimum, windowMs, isMinimumAdded = false}: AttemptBudgetOptions): AttemptBudget => {
 	const firstAttempts = new Float64Array(sliceCount);
 	const extraAttempts = new Float64Array(sliceCount);
 	const sliceMs = windowMs / sliceCount;
--- a/packages/router/src/test/fleet/change-feed.test.ts
+++ b/packages/router/src/test/fleet/change-feed.test.ts
@@ -34,7 +34,7 @@
 		}
 	};
 
-	const follow = (source: Omit<ChangeSource<string>, 'decode'>, restMs = 0): ChangeFeed => followChanges({
+	const follow = (source: Omit<ChangeSource<string>, 'decode'>, coalesceMs = 0): ChangeFeed => followChanges({
 		name: 'test',
 		source: {...source, decode},
 		handler: {
@@ -47,7 +47,7 @@
 		},
 		waitMs: () => 800,
 		timeoutMs: 400,
-		coalesceMs: restMs,
+		coalesceMs,
 		log: createSilentLog(),
 	});
 
--- a/packages/router/src/test/fleet/shared-feed.test.ts
+++ b/packages/router/src/test/fleet/shared-feed.test.ts
@@ -8,9 +8,9 @@
 import {createFeedReaders, type FeedReaders} from '../../peers.js';
 
 const waitMs = 1000;
-const answerMs = 400;
-const trustMs = 1400;
-const relayMs = 100;
+const timeoutMs = 400;
+const freshMs = 1400;
+const relayDelayMs = 100;
 const maxTransitMs = 20;
 /** Every daemon must have applied a change after this time, in milliseconds. */
 const boundMs = 2000;
@@ -112,7 +112,7 @@
 		const seenAt = new Map<string, number>();
 		const unseenMs = new Map<string, number>();
 		const readers: FeedReaders = createFeedReaders({
-			name, table: 'endpoints', peers: () => names.filter(other => other !== name && !stopped.has(other)), silenceMs: trustMs,
+			name, table: 'endpoints', peers: () => names.filter(other => other !== name && !stopped.has(other)), silenceMs: freshMs,
 		});
 		const callStore = async <Answer>(limitMs: number, work: () => Promise<Answer>): Promise<Answer> => {
 			calls++;
@@ -161,14 +161,14 @@
 				},
 			},
 			waitMs: () => waitMs,
-			timeoutMs: answerMs,
+			timeoutMs,
 			coalesceMs: 0,
 			sharing: {
 				readerInMs: readers.dueInMs,
 				isFirstChoice: readers.isFirstChoice,
 				relayed: readers.relayed,
-				freshMs: trustMs,
-				relayDelayMs: relayMs,
+				freshMs,
+				relayDelayMs,
 				relay(relay) {
 					send(name, relay);
 				},
--- a/packages/router/src/test/placing/endpoint-choice.test.ts
+++ b/packages/router/src/test/placing/endpoint-choice.test.ts
@@ -22,9 +22,9 @@
 describe('createEndpointChoice', () => {
 	let clock: FakeTimers.Clock;
 	let view: FleetView;
-	let book: EndpointLoadTracker;
+	let loadTracker: EndpointLoadTracker;
 	let presence: EndpointPresence;
-	let kept: StoredParts;
+	let storedParts: StoredParts;
 	let versions: EngineVersions;
 	let limits: EndpointLimits;
 	let choice: EndpointChoice;
@@ -60,14 +60,14 @@
 			},
 		};
 		view.acceptDocument(document);
-		book = createEndpointLoadTracker();
+		loadTracker = createEndpointLoadTracker();
 		presence = createEndpointPresence(createSilentLog());
-		kept = createStoredParts();
+		storedParts = createStoredParts();
 		versions = createEngineVersions();
 		limits = createLoneLimits();
 		const random = xoroshiro128plus(1);
 		choice = createEndpointChoice({
-			view, loadTracker: book, health: createHealthTracker(), presence, versions, limits, storedParts: kept, residentParts: createResidentParts({memoryTokens: view.memoryTokens}),
+			view, loadTracker, health: createHealthTracker(), presence, versions, limits, storedParts, residentParts: createResidentParts({memoryTokens: view.memoryTokens}),
 			dataCentre: 'a', connectionShare: () => 0.1, weightsMs: 8000, daemons: () => 10, random: () => uniformFloat64(random),
 		});
 		for (let index = 0; index < 8; index++) {
@@ -129,7 +129,7 @@
 			const need = prompt('hot');
 			const chosen = choose(need)!;
 			choice.placed(chosen, need);
-			book.start(chosen.endpoint.id, {missingTokens: chosen.missingTokens, memoryTokens: 9213, outputTokens: 13});
+			loadTracker.start(chosen.endpoint.id, {missingTokens: chosen.missingTokens, memoryTokens: 9213, outputTokens: 13});
 			used.set(chosen.endpoint.id, (used.get(chosen.endpoint.id) ?? 0) + 1);
 		}
 
@@ -148,7 +148,7 @@
 		// used to three quarters and more, and fetches queued.
 		const first = choose(prompt('s1'))!;
 		choice.placed(first, prompt('s1'));
-		kept.applyPeerReport([':1 top', ':1 s1', ':1 s2']);
+		storedParts.applyPeerReport([':1 top', ':1 s1', ':1 s2']);
 		const other = choose(prompt('s1'), {excluded: new Set([first.endpoint.id])})!;
 		assert.deepEqual([other.fetchFrom, other.missingTokens], [first.endpoint.address, 2900]);
 		assert.equal(choose(prompt('s2'))!.fetchFrom, '10.9.0.1:80');
@@ -173,7 +173,7 @@
 		const first = choose(prompt('s1'))!;
 		const {id} = first.endpoint;
 		choice.placed(first, prompt('s1'));
-		kept.applyPeerReport([':1 top', ':1 s1']);
+		storedParts.applyPeerReport([':1 top', ':1 s1']);
 		const source = () => choose(prompt('s1'), {excluded: new Set([id])})!.fetchFrom;
 		presence.unreached(view.endpoint(id)!);
 		assert.equal(source(), '10.9.0.1:80');
@@ -190,11 +190,11 @@
 		// and a tenth of a second to compute.
 		const {document} = view.current()!;
 		const slow = {...document, version: 2, cacheStores: [{...document.cacheStores[0], linkBytesPerMs: 39_000}]};
-		kept.applyPeerReport([':1 top', ':1 s1']);
+		storedParts.applyPeerReport([':1 top', ':1 s1']);
 		const fast = choose(prompt('s1'))!;
 		view.acceptDocument(slow);
 		const late = choose(prompt('s1'))!;
-		assert.isBelow(late.fetchMs, 6300 * book.msPerToken('e0') * 1.01);
+		assert.isBelow(late.fetchMs, 6300 * loadTracker.msPerToken('e0') * 1.01);
 		assert.isAbove(late.expectedMs, fast.expectedMs);
 	});
 
@@ -220,7 +220,7 @@
 		// Guards against all daemons choosing an engine that has just changed its weights.
 		// All know that it is idle, but not what the others send to it; if a prompt also
 		// seemed half cached there, it would be the best choice for each of them.
-		kept.applyPeerReport([':1 top', ':1 s1']);
+		storedParts.applyPeerReport([':1 top', ':1 s1']);
 		assert.equal(choose(prompt('s1'))!.missingTokens, 2900);
 		versions.seen(choose(prompt('s1'))!.endpoint.id, 2);
 		for (let index = 0; index < 8; index++) {
@@ -228,7 +228,7 @@
 		}
 
 		assert.equal(choose(prompt('s1'))!.missingTokens, 9200);
-		kept.applyPeerReport([':2 top']);
+		storedParts.applyPeerReport([':2 top']);
 		assert.equal(choose(prompt('s1'))!.missingTokens, 6700);
 	});
 
@@ -237,7 +237,7 @@
 		// order on a reset connection may have run.
 		for (const id of Array.from({length: 8}, (_item, index) => `e${index}`)) {
 			for (let count = 0; count < 10; count++) {
-				book.start(id, {missingTokens: 0, memoryTokens: 0, outputTokens: 0});
+				loadTracker.start(id, {missingTokens: 0, memoryTokens: 0, outputTokens: 0});
 			}
 		}
 
@@ -254,9 +254,9 @@
 		};
 
 		assert.deepEqual([send(prompt('s1')), send(prompt('s1')), send(prompt('s2'))], ['10.9.0.1:80', undefined, '10.9.0.1:80']);
-		assert.deepEqual(kept.takeUnreported(), [':1 top', ':1 s1', ':1 s2']);
-		assert.isEmpty(kept.takeUnreported());
-		kept.applyPeerReport([':1 s3']);
+		assert.deepEqual(storedParts.takeUnreported(), [':1 top', ':1 s1', ':1 s2']);
+		assert.isEmpty(storedParts.takeUnreported());
+		storedParts.applyPeerReport([':1 s3']);
 		assert.isUndefined(send(prompt('s3')));
 		clock.tick(20_000);
 		assert.equal(send(prompt('s1')), '10.9.0.1:80');
@@ -289,7 +289,7 @@
 		view.acceptWeights('m', 2, 0);
 		clock.tick(5000);
 		for (let index = 0; index < 8; index++) {
-			book.start(`e${index}`, {missingTokens: 60_000, memoryTokens: 100, outputTokens: 0});
+			loadTracker.start(`e${index}`, {missingTokens: 60_000, memoryTokens: 100, outputTokens: 0});
 		}
 
 		versions.seen('e4', 2);
@@ -329,7 +329,7 @@
 		for (let index = 0; index < 7; index++) {
 			const [count, memoryTokens] = [[64, 0], [1, 96_000], [1, 0]][index % 3];
 			for (let started = 0; started < count; started++) {
-				book.start(`e${index}`, {missingTokens: 0, memoryTokens, outputTokens: 0});
+				loadTracker.start(`e${index}`, {missingTokens: 0, memoryTokens, outputTokens: 0});
 			}
 		}
 
@@ -341,14 +341,14 @@
 
 	it('avoids an engine that does not answer', () => {
 		const chosen = choose(prompt('s1'))!;
-		book.start(chosen.endpoint.id, {missingTokens: 100, memoryTokens: 100, outputTokens: 0});
+		loadTracker.start(chosen.endpoint.id, {missingTokens: 100, memoryTokens: 100, outputTokens: 0});
 		clock.tick(4000);
 		assert.notEqual(choose(prompt('s1'))!.endpoint.id, chosen.endpoint.id);
 	});
 
 	it('includes the load that peers report', () => {
 		const chosen = choose(prompt('s1'))!;
-		book.applyPeerReport(reportOf('vm-2', {loads: [[chosen.endpoint.id, 6, 40_000, 60_000, 0]]}));
+		loadTracker.applyPeerReport(reportOf('vm-2', {loads: [[chosen.endpoint.id, 6, 40_000, 60_000, 0]]}));
 		assert.notEqual(choose(prompt('s1'))!.endpoint.id, chosen.endpoint.id);
 	});
 });
--- a/packages/router/src/test/placing/rolling-update.test.ts
+++ b/packages/router/src/test/placing/rolling-update.test.ts
@@ -148,23 +148,23 @@
 function createDaemon(random: () => number) {
 	const view = createFleetView(createSilentLog());
 	view.acceptDocument(document);
-	const book = createEndpointLoadTracker();
+	const loadTracker = createEndpointLoadTracker();
 	const versions = createEngineVersions();
-	const kept = createStoredParts();
-	const resident = createResidentParts({memoryTokens: view.memoryTokens});
+	const storedParts = createStoredParts();
+	const residentParts = createResidentParts({memoryTokens: view.memoryTokens});
 	const choice = createEndpointChoice({
-		view, loadTracker: book, health: createHealthTracker(), presence: createEndpointPresence(createSilentLog()), versions, limits: createLoneLimits(), storedParts: kept, residentParts: resident,
+		view, loadTracker, health: createHealthTracker(), presence: createEndpointPresence(createSilentLog()), versions, limits: createLoneLimits(), storedParts, residentParts,
 		dataCentre: 'a', connectionShare: () => 1 / daemonCount, weightsMs: 10_000, daemons: () => daemonCount, random,
 	});
 	return {
-		view, book, versions, kept, resident, choice,
+		view, loadTracker, versions, storedParts, residentParts, choice,
 	};
 }
 
 type Daemon = ReturnType<typeof createDaemon>;
 
-const createReport = ({book, kept, resident}: Daemon, daemon: string): PeerReport =>
-	reportOf(daemon, {kept: kept.takeUnreported(), placed: resident.takeUnreported(), loads: book.report()});
+const createReport = ({loadTracker, storedParts, residentParts}: Daemon, daemon: string): PeerReport =>
+	reportOf(daemon, {kept: storedParts.takeUnreported(), placed: residentParts.takeUnreported(), loads: loadTracker.report()});
 
 /**
  * Simulates two seconds on version 1, then an update with a third of the engines unavailable at
@@ -191,7 +191,7 @@
 		const sent: Sent[] = [];
 		let refused = 0;
 
-		const sendPrompt = ({book, choice, versions}: Daemon, prompt: PromptNeed, targetMs: number): void => {
+		const sendPrompt = ({loadTracker, choice, versions}: Daemon, prompt: PromptNeed, targetMs: number): void => {
 			const chosen = choice.choose({service: 'engines', excluded: new Set(), prompt});
 			if (chosen === undefined) {
 				refused++;
@@ -199,7 +199,7 @@
 			}
 
 			const {id} = chosen.endpoint;
-			const work = book.start(id, {missingTokens: chosen.missingTokens, memoryTokens: prompt.promptTokens + prompt.outputTokens, outputTokens: prompt.outputTokens});
+			const work = loadTracker.start(id, {missingTokens: chosen.missingTokens, memoryTokens: prompt.promptTokens + prompt.outputTokens, outputTokens: prompt.outputTokens});
 			choice.placed(chosen, prompt);
 			const one: Sent = {
 				prompt, choice: chosen, targetMs, sentAt: performance.now(), firstAt: undefined, version: 0,
@@ -217,9 +217,9 @@
 				},
 				onEnd() {
 					work.ended(true);
-					book.recordReportedLoad(id, load);
+					loadTracker.recordReportedLoad(id, load);
 					versions.seen(id, one.version);
-					book.updateEstimates(id, one.firstAt! - one.sentAt - chosen.fetchMs, chosen.missingTokens, chosen.pendingTokens);
+					loadTracker.updateEstimates(id, one.firstAt! - one.sentAt - chosen.fetchMs, chosen.missingTokens, chosen.pendingTokens);
 				},
 			}, sourceOf);
 		};
@@ -257,9 +257,9 @@
 				} else if (performance.now() >= readyAt) {
 					engines.get(id)!.load(2);
 					updating.delete(id);
-					for (const {versions, resident} of daemons) {
+					for (const {versions, residentParts} of daemons) {
 						versions.seen(id, 2);
-						resident.forget(id);
+						residentParts.forget(id);
 					}
 				}
 			}
@@ -273,9 +273,9 @@
 			const news = createReport(from, name);
 			for (const to of daemons) {
 				if (to !== from) {
-					to.book.applyPeerReport(news);
-					to.kept.applyPeerReport(news.kept);
-					to.resident.applyPeerReport(news.placed);
+					to.loadTracker.applyPeerReport(news);
+					to.storedParts.applyPeerReport(news.kept);
+					to.residentParts.applyPeerReport(news.placed);
 				}
 			}
 		};
--- a/packages/router/src/test/rollouts/rollouts.test.ts
+++ b/packages/router/src/test/rollouts/rollouts.test.ts
@@ -10,7 +10,7 @@
 
 const loadMs = 400;
 
-/** Fake engines that obey any order, also with an old fencing number, and can fail to load. */
+/** Fake engines that obey any order, also with an old fencing token, and can fail to load. */
 function createEngines(count: number) {
 	const engines = new Map<string, FakeEngine>();
 	for (let index = 0; index < count; index++) {
@@ -194,7 +194,7 @@
 		assert.isEmpty(fleet.state.orders.filter(order => order.version === 'w1'));
 	});
 
-	// Endpoints that ignore fencing numbers obey the last order they receive. The
+	// Endpoints that ignore fencing tokens obey the last order they receive. The
 	// first owner sends nothing in the last second of its lease, and the second waits
 	// a second before its first order, so no late order follows a newer one.
 	it('never sends an order of the old owner after one of the new owner', async () => {
@@ -211,7 +211,7 @@
 
 	// The owner recorded three steps and crashed before their orders were sent. The
 	// new owner finds them in the record, sees that no engine is loading, and sends
-	// the orders under its own fencing number.
+	// the orders under its own fencing token.
 	it('resends orders that were lost with their owner', async () => {
 		const fleet = createFleet(8);
 		const orderDroppingControl = {...fleet.control, order: async () => undefined};
--- a/packages/router/src/test/weights/change-under-load.test.ts
+++ b/packages/router/src/test/weights/change-under-load.test.ts
@@ -67,16 +67,17 @@
 				return 'accepted';
 			},
 		};
-		const book = createEndpointLoadTracker();
+		const loadTracker = createEndpointLoadTracker();
 		const presence = createEndpointPresence(createSilentLog());
 		const versions = createEngineVersions();
 		const choice = createEndpointChoice({
-			view, loadTracker: book, health: createHealthTracker(), presence, versions, limits: createLoneLimits(), storedParts: createStoredParts(), residentParts: createResidentParts({memoryTokens: view.memoryTokens}),
+			view, loadTracker, health: createHealthTracker(), presence, versions, limits: createLoneLimits(),
+			storedParts: createStoredParts(), residentParts: createResidentParts({memoryTokens: view.memoryTokens}),
 			dataCentre: 'a', connectionShare: () => 1, weightsMs: 12_000, daemons: () => 1, random: () => uniformFloat64(random),
 		});
 		const rollout = createWeightsRollout({
 			name: 'vm-1', view, presence, versions, control, held: () => ({duty: 'weights', fencing: 1, msLeft: 1000}), handoverMs: 3200, announce: () => undefined, weightsMs: 12_000,
-			remainingMs: id => book.load(view.endpoint(id)!).remainingMs, log: createSilentLog(),
+			remainingMs: id => loadTracker.load(view.endpoint(id)!).remainingMs, log: createSilentLog(),
 		});
 		const outcome: Outcome = {
 			downtimesMs: [], refused: 0, requests: 0, doneMs: 0,
@@ -96,7 +97,7 @@
 
 			const engine = engines.get(chosen.endpoint.id)!;
 			const end = performance.now() + 70 + (outputTokens * msPerToken);
-			const work = book.start(chosen.endpoint.id, {missingTokens: 600, memoryTokens: 700, outputTokens});
+			const work = loadTracker.start(chosen.endpoint.id, {missingTokens: 600, memoryTokens: 700, outputTokens});
 			engine.ends.add(end);
 			setTimeout(work.begun, 70);
 			setTimeout(() => {
--- a/packages/standins/src/lib/service/histories/history-caller.ts
+++ b/packages/standins/src/lib/service/histories/history-caller.ts
@@ -35,14 +35,14 @@
 			end() {
 				whole = !lost && !cut;
 			},
-			cut() {
+			abort() {
 				cut = true;
 			},
-			isGone: () => lost,
+			isDisconnected: () => lost,
 			onDrain() {
 				// Never called: `write` accepts everything.
 			},
-			onGone() {
+			onDisconnect() {
 				// Not needed: a lost VM does nothing any more.
 			},
 		},
